--- a/tests/fleetkit.py
+++ b/tests/fleetkit.py
@@ -10,7 +10,7 @@
 from itertools import accumulate
 
 from thymehinge import interface as api
-from thymehinge.brain import Gateway
+from thymehinge.decisions import Gateway
 from thymehinge.emulator.clock import Clock
 from thymehinge.interface import Result
 
--- a/tests/rules.py
+++ b/tests/rules.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from thymehinge import interface as api
-from thymehinge.brain import Gateway
+from thymehinge.decisions import Gateway
 from thymehinge.interface import Repeat, Result, Scope, State
 
 LOOKUP = api.RequestClass("lookup", aim=1.0, deadline=3.0)
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -173,7 +173,7 @@
     def fail(*_: object) -> None:
         raise IndexError("index\nout of range")
 
-    monkeypatch.setattr("thymehinge.brain.Gateway.on_request", fail)
+    monkeypatch.setattr("thymehinge.decisions.Gateway.on_request", fail)
     reply = talk(f"{BEGIN}\n{LIST}", ORDER)
     assert [line for line in reply if "BROKEN" in line] == [
         "BROKEN gateway_id=3 body_text=IndexError: index out of range"
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -14,7 +14,7 @@
 from rules import Drive, servers, settings
 
 from thymehinge import interface as api
-from thymehinge.brain import DEPARTED_LIFE, DEPARTED_MOST
+from thymehinge.decisions import DEPARTED_LIFE, DEPARTED_MOST
 
 SIZES, SPREADS, SEEDS = (1, 2, 3, 5, 20, 30, 200), ("even", "uneven"), range(3)
 TAIL = 1.3  # of the Pareto distribution of traffic over gateways: some see several times the mean
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from thymehinge import brain
+from thymehinge import decisions
 from thymehinge.emulator import entries
 from thymehinge.net import servers
 
@@ -35,9 +35,9 @@
 @pytest.mark.parametrize(
     ("part", "kinds"),
     [
-        (brain.Backend, ("server", "departed")),
-        (brain.Slots, ("customer", "bucket")),
-        (brain.Job, ("request",)),
+        (decisions.Backend, ("server", "departed")),
+        (decisions.Slots, ("customer", "bucket")),
+        (decisions.Job, ("request",)),
         (servers.Pool, ("pool",)),
     ],
 )
@@ -60,7 +60,7 @@
 
 
 def test_requests_that_are_not_sent_are_no_requests_in_hand(monkeypatch):
-    monkeypatch.setattr(brain.Gateway, "send", lambda *given, **more: False)
+    monkeypatch.setattr(decisions.Gateway, "send", lambda *given, **more: False)
     with pytest.raises(RuntimeError, match="0 of 256 requests were sent"):
         BYTES["request"](FEW, 1)
 
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -9,7 +9,7 @@
 from netkit import HOST, ID, PATIENCE, Kit, command, hosts, kit_with_server, options, run, soon
 
 from thymehinge import interface as api
-from thymehinge.brain import Notes
+from thymehinge.decisions import Notes
 from thymehinge.net import client_connection
 from thymehinge.net.client_connection import Phase
 
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from thymehinge import brain
+from thymehinge import decisions
 from thymehinge import interface as api
 from thymehinge.emulator import hollow
 from thymehinge.emulator.clock import Clock
@@ -19,7 +19,7 @@
 TINY = hollow.Sizes((4, 8), 4, 6, (6, 24), 2.0)
 
 
-CUSTOMER = brain.Customer.__init__
+CUSTOMER = decisions.Customer.__init__
 
 
 def at_home_everywhere(self, plan, request, settings, now):
@@ -45,12 +45,12 @@
 @pytest.mark.parametrize(
     ("part", "name", "owner", "attribute", "value"),
     [
-        (hollow.bounded, "gateway.messages.at_200", brain, "ASK_INTAKE", 100.0),
-        (hollow.bounded, "gateway.messages.at_200", brain.Notes, "MOST", 1),
-        (hollow.sending, "gateway.messages.request", brain, "ASK_WAIT", 0.002),
-        (hollow.holding, "gateway.customers.request", brain.Customer, "idle", lambda self: False),
-        (hollow.sending, "home.buckets.customer", brain.Customer, "__init__", at_home_everywhere),
-        (hollow.meeting, "gateway.servers.met", brain, "JITTER", 100.0),
+        (hollow.bounded, "gateway.messages.at_200", decisions, "ASK_INTAKE", 100.0),
+        (hollow.bounded, "gateway.messages.at_200", decisions.Notes, "MOST", 1),
+        (hollow.sending, "gateway.messages.request", decisions, "ASK_WAIT", 0.002),
+        (hollow.holding, "gateway.customers.request", decisions.Customer, "idle", lambda self: False),
+        (hollow.sending, "home.buckets.customer", decisions.Customer, "__init__", at_home_everywhere),
+        (hollow.meeting, "gateway.servers.met", decisions, "JITTER", 100.0),
     ],
 )
 def test_a_slope_grows_with_what_it_measures(monkeypatch, part, name, owner, attribute, value):
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -4,7 +4,7 @@
 
 from pathlib import Path
 
-BRAIN = Path(__file__).parent.parent / "thymehinge" / "brain.py"
+BRAIN = Path(__file__).parent.parent / "thymehinge" / "decisions.py"
 
 
 def test_the_module_stays_within_its_limits():
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -10,7 +10,7 @@
 
 from thymehinge import Gateway
 from thymehinge import interface as api
-from thymehinge.brain import LIMIT_FEW, Customer, Notes
+from thymehinge.decisions import LIMIT_FEW, Customer, Notes
 from thymehinge.interface import Result
 
 
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -9,7 +9,7 @@
 from rules import HARD, LOOKUP, SOFT, Drive, servers, settings
 
 from thymehinge import interface as api
-from thymehinge.brain import Slots
+from thymehinge.decisions import Slots
 
 
 def test_a_customer_beyond_quota_is_held_to_it():
--- a/tests/test_quota_across_gateways.py
+++ b/tests/test_quota_across_gateways.py
@@ -10,7 +10,7 @@
 from rules import HARD, LOOKUP, Drive, servers, settings
 
 from thymehinge import interface as api
-from thymehinge.brain import Customer, Notes
+from thymehinge.decisions import Customer, Notes
 
 
 def test_a_customer_gets_its_quota_through_one_gateway_of_many_and_not_more_through_all():
--- a/thymehinge/__init__.py
+++ b/thymehinge/__init__.py
@@ -1,6 +1,6 @@
 """Decisions of a gateway that meters many customers' use of one shared service."""
 
-from thymehinge.brain import Gateway
+from thymehinge.decisions import Gateway
 from thymehinge.interface import Settings
 
 __all__ = ["Gateway", "Settings"]
--- a/thymehinge/adapter.py
+++ b/thymehinge/adapter.py
@@ -1,6 +1,6 @@
 """The simulator's wire on standard input and output: parse, dispatch by gateway, format, flush.
 
-No decision is taken here. Each gateway instance is a `thymehinge.brain.Gateway` of its own.
+No decision is taken here. Each gateway instance is a `thymehinge.decisions.Gateway` of its own.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from typing import Any, TextIO
 
 from thymehinge import interface as api
-from thymehinge.brain import Gateway
+from thymehinge.decisions import Gateway
 from thymehinge.settings import read_settings
 
 RESULTS = {
--- a/thymehinge/emulator/entries.py
+++ b/thymehinge/emulator/entries.py
@@ -20,7 +20,7 @@
 from typing import Any
 
 from thymehinge import interface as api
-from thymehinge.brain import Gateway, Notes
+from thymehinge.decisions import Gateway, Notes
 from thymehinge.emulator.slopes import Slope
 from thymehinge.interface import ListKind
 from thymehinge.net.config import Config
--- a/thymehinge/emulator/fleet.py
+++ b/thymehinge/emulator/fleet.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from thymehinge import interface as api
-from thymehinge.brain import Gateway, Notes
+from thymehinge.decisions import Gateway, Notes
 from thymehinge.emulator.clock import Clock
 from thymehinge.emulator.customers import FOR_EACH_GATEWAY, Customers, plans
 from thymehinge.emulator.discovery import Discovery, Layout, Rates
--- a/thymehinge/emulator/hollow.py
+++ b/thymehinge/emulator/hollow.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-from thymehinge.brain import ASK_INTAKE, Notes
+from thymehinge.decisions import ASK_INTAKE, Notes
 from thymehinge.emulator.fleet import INTAKE, Fleet, Shape
 from thymehinge.emulator.slopes import Slope
 
--- a/thymehinge/interface.py
+++ b/thymehinge/interface.py
@@ -1,4 +1,4 @@
-"""Settings, events and actions of a gateway: the whole surface of `thymehinge.brain`.
+"""Settings, events and actions of a gateway: the whole surface of `thymehinge.decisions`.
 
 Times are seconds on the caller's clock. Nothing here decides anything.
 """
--- a/thymehinge/net/driver.py
+++ b/thymehinge/net/driver.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 
 from thymehinge import interface as api
-from thymehinge.brain import Gateway
+from thymehinge.decisions import Gateway
 from thymehinge.interface import Result
 from thymehinge.net.client_connection import BUSY, FAILED
 from thymehinge.net.clients import Clients
