--- a/tests/fleetkit.py
+++ b/tests/fleetkit.py
@@ -16,8 +16,8 @@
 
 WIRE = 0.002  # s one way between a gateway and a table server
 CLASSES = {  # share of the requests and work of one, in requests of mean work
-    api.RequestClass("lookup", aim=1.0, deadline=3.0): (2 / 3, 0.6),
-    api.RequestClass("report", aim=2.0, deadline=5.0): (1 / 3, 1.8),
+    api.RequestClass("lookup", latency_target=1.0, timeout=3.0): (2 / 3, 0.6),
+    api.RequestClass("report", latency_target=2.0, timeout=5.0): (1 / 3, 1.8),
 }
 SHAPE = 2.0  # of the gamma distribution of a request's work within its class: a spread of 0.7
 FIRST = 12.0  # s after its start over which the use of a cold server is looked at
@@ -59,7 +59,9 @@
         super().__init__(seed)
         self.rng, self.rate, self.work, self.requests = random.Random(seed), rate, work, 0
         self.settings = [
-            api.Settings(tuple(CLASSES), (api.Plan("open"),), gateway=i, gateways=len(weights), **settings)
+            api.Settings(
+                tuple(CLASSES), (api.Plan("open"),), gateway_index=i, gateway_count=len(weights), **settings
+            )
             for i in range(len(weights))
         ]
         self.sums = list(accumulate(weights))
@@ -75,7 +77,7 @@
 
     def add(self, name: str, cores: int = 4, room: int = 80, cold: bool = True, other: float = 0.0) -> None:
         """A table server that starts now; `other` is load from elsewhere, as a part of its capacity."""
-        entry = api.Server(name, started=self.now if cold else 0.0)
+        entry = api.Server(name, started_at=self.now if cold else 0.0)
         self.servers[name] = TableServer(entry, cores, room)
         if other > 0:
             self.after(0.0, self.foreign, self.servers[name], other * cores / self.work)
@@ -87,7 +89,7 @@
             self.after(self.rng.uniform(0, spread), self.list_to, i, self.listed)
 
     def list_to(self, i: int, listed: tuple[api.Server, ...]) -> None:
-        self.give(i, self.lives[i], api.ServerList(api.ListKind.FULL, 1, listed))
+        self.give(i, self.lives[i], api.ServerList(api.ListKind.SNAPSHOT, 1, listed))
 
     def restart(self, share: float, spread: float = 0.0) -> None:
         """A share of the gateways is killed and begins anew with the list."""
@@ -109,7 +111,7 @@
         self.requests += 1
         self.jobs[i][self.requests] = CLASSES[cls][1] * self.rng.gammavariate(SHAPE, 1 / SHAPE)
         customer = self.rng.randrange(4)
-        self.give(i, self.lives[i], api.Request(self.requests, cls.deadline, cls.name, "open", customer))
+        self.give(i, self.lives[i], api.Request(self.requests, cls.timeout, cls.name, "open", customer))
 
     def foreign(self, server: TableServer, rate: float) -> None:
         self.after(self.rng.expovariate(rate), self.foreign, server, rate)
@@ -121,27 +123,29 @@
         for action in self.gateways[i].handle(self.now, event):
             match action:
                 case api.SetTimer():
-                    self.after(max(0.0, action.at - self.now), self.give, i, life, api.TimerDue(action.tag))
+                    self.after(
+                        max(0.0, action.due_at - self.now), self.give, i, life, api.TimerDue(action.tag)
+                    )
                 case api.Send():
-                    tries = self.attempts[i].setdefault(action.request, [])
-                    work, server = self.jobs[i][action.request], self.servers[action.server]
-                    a = Attempt(i, work, life, action.request, len(tries), action.server, self.now)
+                    tries = self.attempts[i].setdefault(action.request_id, [])
+                    work, server = self.jobs[i][action.request_id], self.servers[action.server]
+                    a = Attempt(i, work, life, action.request_id, len(tries), action.server, self.now)
                     tries.append(a)
                     server.sent.append((self.now, work))
                     self.after(WIRE, self.reach, server, a)
-                    self.after(action.until - self.now, self.end, a, Result.TIMEOUT)
+                    self.after(action.deadline - self.now, self.end, a, Result.TIMEOUT)
                 case api.Cancel():
-                    self.end(self.attempts[i][action.request][action.attempt], Result.CANCELLED)
+                    self.end(self.attempts[i][action.request_id][action.attempt], Result.CANCELLED)
 
     def warmth(self, server: TableServer, now: float) -> float:
-        s, age = self.settings[0], now - server.entry.started
-        if server.entry.started <= 0 or age >= s.cold_time:
+        s, age = self.settings[0], now - server.entry.started_at
+        if server.entry.started_at <= 0 or age >= s.slow_start_duration:
             return 1.0
-        return s.cold_share + (1 - s.cold_share) * age / s.cold_time
+        return s.slow_start_capacity + (1 - s.slow_start_capacity) * age / s.slow_start_duration
 
     def reach(self, server: TableServer, a: Attempt) -> None:
         if server.busy >= server.cores and len(server.queue) >= server.room:
-            return self.after(WIRE, self.end, a, Result.FULL)
+            return self.after(WIRE, self.end, a, Result.REJECTED)
         if a.gateway >= 0:
             server.taken.append((self.now, a.work))
         if server.busy < server.cores:
@@ -176,14 +180,22 @@
         Windows of the cold servers are counted up to a send, when they are fullest.
         """
         s, worst, held = self.settings[0], -math.inf, True
-        for server in (s for s in self.servers.values() if s.entry.started > 0):
+        for server in (s for s in self.servers.values() if s.entry.started_at > 0):
             window, total = deque[tuple[float, float]](), 0.0
-            for at, work in (x for x in server.sent if x[0] < server.entry.started + s.cold_time):
+            for at, work in (
+                x for x in server.sent if x[0] < server.entry.started_at + s.slow_start_duration
+            ):
                 window.append((at, work))
                 total += work
-                while window[0][0] <= at - s.fall_time:
+                while window[0][0] <= at - s.overload_window:
                     total -= window.popleft()[1]
-                n = s.fall_multiple * self.warmth(server, at) * server.cores / self.work * s.fall_time
+                n = (
+                    s.overload_multiple
+                    * self.warmth(server, at)
+                    * server.cores
+                    / self.work
+                    * s.overload_window
+                )
                 worst = max(worst, (total - n) / math.sqrt(n))
                 held = held and total <= n + 2 * math.sqrt(n) + 2
         return worst, held
@@ -191,9 +203,11 @@
     def use(self) -> float:
         """What cold servers took in their first seconds, as a part of an even share of what all took then."""
         got = even = 0.0
-        for server in (s for s in self.servers.values() if s.entry.started > 0):
-            until = server.entry.started + FIRST
+        for server in (s for s in self.servers.values() if s.entry.started_at > 0):
+            until = server.entry.started_at + FIRST
             got += sum(work for at, work in server.taken if at < until)
             taken = (item for other in self.servers.values() for item in other.taken)
-            even += sum(work for at, work in taken if server.entry.started <= at < until) / len(self.listed)
+            even += sum(work for at, work in taken if server.entry.started_at <= at < until) / len(
+                self.listed
+            )
         return got / even if even else 0.0
--- a/tests/quotakit.py
+++ b/tests/quotakit.py
@@ -26,7 +26,9 @@
     """Gateways that hear each other after a moment; a message may be lost by `lost`. It models no server."""
 
     def __init__(self, count: int, **changes: object) -> None:
-        self.all = [Drive(settings(gateways=count, gateway=i, **changes), seed=i) for i in range(count)]
+        self.all = [
+            Drive(settings(gateway_count=count, gateway_index=i, **changes), seed=i) for i in range(count)
+        ]
         self.seen = [0] * count
         self.lost = lambda sender, body: False
         for d in self.all:
@@ -36,7 +38,7 @@
         for _ in range(round(seconds / 0.01)):
             told = []
             for i, d in enumerate(self.all):
-                told += [(i, a) for _, a in d.log[self.seen[i] :] if isinstance(a, api.Tell)]
+                told += [(i, a) for _, a in d.log[self.seen[i] :] if isinstance(a, api.SendToPeer)]
                 self.seen[i] = len(d.log)
                 d.run(0.01)
                 for r in [r for r in d.sent if answer and d.out(r)]:
@@ -53,11 +55,11 @@
     """A customer of all gateways whose home is this one."""
     given = d.settings
     tries = (
-        d.gateway.customer(d.now, api.Request(0, 1.0, "", "hard", key, spread=given.gateways))
+        d.gateway.customer(d.now, api.Request(0, 1.0, "", "hard", key, spread=given.gateway_count))
         for key in range(1000)
     )
     return next(c.key for c in tries if c.homes[0] == home)
 
 
 def asks(d: Drive) -> int:
-    return sum(isinstance(a, api.Tell) for _, a in d.log)
+    return sum(isinstance(a, api.SendToPeer) for _, a in d.log)
--- a/tests/rules.py
+++ b/tests/rules.py
@@ -4,15 +4,29 @@
 
 from thymehinge import interface as api
 from thymehinge.decisions import Gateway
-from thymehinge.interface import Repeat, Result, Scope, State
-
-LOOKUP = api.RequestClass("lookup", aim=1.0, deadline=3.0)
-KEYED = api.RequestClass("pay", aim=1.0, deadline=3.0, repeat=Repeat.KEYED, scope=Scope.ZONE, window=2.0)
-KEYED_ALL = api.RequestClass("post", aim=1.0, deadline=3.0, repeat=Repeat.KEYED, scope=Scope.ALL, window=2.0)
-UNSAFE = api.RequestClass("once", aim=1.0, deadline=3.0, repeat=Repeat.UNSAFE)
-HARD = api.Plan("hard", rate=4.0, burst=8.0, over_cost=1.0)
-SOFT = api.Plan("soft", rate=4.0, burst=8.0, over_worth=0.3)
-CAPPED = api.Plan("capped", rate=4.0, burst=8.0, ceiling_rate=8.0, ceiling_burst=16.0, ceiling_slack=1.0)
+from thymehinge.interface import DedupScope, Idempotency, LifecycleState, Result
+
+LOOKUP = api.RequestClass("lookup", latency_target=1.0, timeout=3.0)
+KEYED = api.RequestClass(
+    "pay",
+    latency_target=1.0,
+    timeout=3.0,
+    idempotency=Idempotency.KEYED,
+    dedup_scope=DedupScope.ZONE,
+    dedup_window=2.0,
+)
+KEYED_ALL = api.RequestClass(
+    "post",
+    latency_target=1.0,
+    timeout=3.0,
+    idempotency=Idempotency.KEYED,
+    dedup_scope=DedupScope.ALL,
+    dedup_window=2.0,
+)
+UNSAFE = api.RequestClass("once", latency_target=1.0, timeout=3.0, idempotency=Idempotency.UNSAFE)
+HARD = api.Plan("hard", rate=4.0, burst=8.0, overage_cost=1.0)
+SOFT = api.Plan("soft", rate=4.0, burst=8.0, overage_value=0.3)
+CAPPED = api.Plan("capped", rate=4.0, burst=8.0, cap_rate=8.0, cap_burst=16.0, cap_slack=1.0)
 GRACE = 0.016
 
 
@@ -21,16 +35,16 @@
     base: dict[str, object] = dict(
         classes=(LOOKUP, KEYED, KEYED_ALL, UNSAFE),
         plans=(HARD, SOFT, CAPPED),
-        gateway=0,
-        gateways=3,
+        gateway_index=0,
+        gateway_count=3,
         zone="a",
-        peers=True,
+        peers_enabled=True,
         peer_messages_per_s=60.0,
-        second_copies=True,
-        cold_share=0.2,
-        cold_time=10.0,
-        fall_multiple=3.0,
-        fall_time=2.0,
+        hedging_enabled=True,
+        slow_start_capacity=0.2,
+        slow_start_duration=10.0,
+        overload_multiple=3.0,
+        overload_window=2.0,
         tick=0.001,
         max_units=4.0,
     )
@@ -40,7 +54,7 @@
 def servers(*names: str, **changes: object) -> api.ServerList:
     """A full list of running servers in zones a, b, a, b ..."""
     return api.ServerList(
-        api.ListKind.FULL,
+        api.ListKind.SNAPSHOT,
         1,
         tuple(api.Server(name, zone="ab"[i % 2], cell=i % 2, **changes) for i, name in enumerate(names)),
     )
@@ -65,11 +79,13 @@
     def give(self, event: api.Event) -> list[api.Action]:
         """One event now; returns the actions."""
         if isinstance(event, api.ServerList) and event.kind is not api.ListKind.FAILED:
-            if event.kind is not api.ListKind.CHANGES:
+            if event.kind is not api.ListKind.DELTA:
                 self.closed |= self.listed.keys()
             for entry in event.servers:
-                self.listed[entry.server] = entry
-                (self.closed.discard if entry.state is State.RUNNING else self.closed.add)(entry.server)
+                self.listed[entry.name] = entry
+                (self.closed.discard if entry.state is LifecycleState.RUNNING else self.closed.add)(
+                    entry.name
+                )
         actions = self.gateway.handle(self.now, event)
         for action in actions:
             self.check(action)
@@ -79,36 +95,38 @@
         """Hold one action against the rules."""
         self.log.append((self.now, action))
         if isinstance(action, api.SetTimer):
-            self.timers.append((action.at, action.tag))
+            self.timers.append((action.due_at, action.tag))
         if not isinstance(action, api.Send | api.Refuse | api.Fail):
             return
-        req, _ = self.requests[action.request]
-        assert action.request not in self.final, f"acted after the final answer: {action}"
-        tries = self.sent.setdefault(action.request, [])
+        req, _ = self.requests[action.request_id]
+        assert action.request_id not in self.final, f"acted after the final answer: {action}"
+        tries = self.sent.setdefault(action.request_id, [])
         ran = [t for t in tries if t[2] is None or not t[2].never_ran]
-        cls = next(c for c in self.settings.classes if c.name == req.cls)
+        cls = next(c for c in self.settings.classes if c.name == req.class_name)
         if isinstance(action, api.Send):
             assert action.server in self.listed and action.server not in self.closed, (
                 f"not in service: {action}"
             )
             assert len(tries) < self.settings.max_attempts
-            if not self.settings.second_copies:
+            if not self.settings.hedging_enabled:
                 assert all(t[2] is not None for t in tries), f"two attempts out: {action}"
-            assert cls.repeat is not Repeat.UNSAFE or not ran
-            if cls.repeat is Repeat.KEYED:
+            assert cls.idempotency is not Idempotency.UNSAFE or not ran
+            if cls.idempotency is Idempotency.KEYED:
                 here = self.listed[action.server]
                 for _, at, _, there in ran:
-                    assert self.now - at <= cls.window
-                    assert cls.scope is Scope.ALL or (
-                        here.zone == there.zone if cls.scope is Scope.ZONE else here.cell == there.cell
+                    assert self.now - at <= cls.dedup_window
+                    assert cls.dedup_scope is DedupScope.ALL or (
+                        here.zone == there.zone
+                        if cls.dedup_scope is DedupScope.ZONE
+                        else here.cell == there.cell
                     )
             tries.append([action.server, self.now, None, self.listed[action.server]])
             return
         if isinstance(action, api.Refuse) and ran:
-            assert cls.repeat is Repeat.SAFE or (cls.repeat is Repeat.KEYED and cls.scope is Scope.ALL), (
-                action
-            )
-        self.answer(action.request, action)
+            assert cls.idempotency is Idempotency.SAFE or (
+                cls.idempotency is Idempotency.KEYED and cls.dedup_scope is DedupScope.ALL
+            ), action
+        self.answer(action.request_id, action)
 
     def answer(self, request: int, action: object) -> None:
         """Note a final answer and that it came in time."""
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter on its wire: real batches in, replies out, and plain words on bad input."""
+"""Tests of the simulator protocol: batches in, actions out, and error messages for malformed input."""
 
 from __future__ import annotations
 
@@ -57,14 +57,15 @@
 }
 BEGIN = f"BEGIN gateway_id=3 seed=7 options={json.dumps(OPTIONS)}"
 ITEM = "ITEM pack=0 scale=1 availability=Running server=h:1 campus=a"
-LIST = f"TOPOLOGY gateway_id=3 how=disk index=1 items=1\n{ITEM}"
+TOPOLOGY = f"TOPOLOGY gateway_id=3 how=disk index=1 items=1\n{ITEM}"
 ORDER = (
     "ORDER gateway_id=3 ref=11 time_left_s=3 priority=lookup tier=village customer=5 set_size=1 weight=1 "
     "from_no=0 colour=blue"
 )
 
 
-def talk(*batches: str) -> list[str]:
+def run_batches(*batches: str) -> list[str]:
+    """Passes the batches to a new adapter, 0.1 s apart from 10 s on, and returns its output lines."""
     text = "".join(f"SYNC t_s={10 + i / 10}\n{batch}\nFLUSH\n" for i, batch in enumerate(batches))
     sink = io.StringIO()
     serve(io.StringIO(text), sink)
@@ -72,8 +73,8 @@
 
 
 def test_a_request_is_delivered_and_its_outcome_read():
-    reply = talk(
-        f"{BEGIN}\n{LIST}",
+    reply = run_batches(
+        f"{BEGIN}\n{TOPOLOGY}",
         ORDER,
         "RESULT gateway_id=3 ref=11 seq_no=0 server=h:1 disposition=0 "
         "time_taken_s=0.1 done_flag=1 stats=queue:3",
@@ -84,29 +85,34 @@
 
 def test_empty_batches_and_unknown_messages_and_instances():
     assert (
-        talk("", "NOVELTY gateway_id=3 x=1", ORDER.replace("gateway_id=3", "gateway_id=9"))
+        run_batches("", "NOVELTY gateway_id=3 x=1", ORDER.replace("gateway_id=3", "gateway_id=9"))
         == ["FINISHED"] * 3
     )
 
 
 def test_a_killed_instance_is_silent_and_starts_afresh():
-    reply = talk(f"{BEGIN}\n{LIST}", "POWER_OFF gateway_id=3", ORDER, f"{BEGIN}\n{LIST}\n{ORDER}")
+    reply = run_batches(
+        f"{BEGIN}\n{TOPOLOGY}", "POWER_OFF gateway_id=3", ORDER, f"{BEGIN}\n{TOPOLOGY}\n{ORDER}"
+    )
     assert sum(line.startswith("DELIVER") for line in reply) == 1
 
 
 def test_instances_share_nothing():
-    """What one instance does is the same whether or not another lives beside it."""
-    other = f"{BEGIN}\n{LIST}\n{ORDER}".replace("gateway_id=3", "gateway_id=4")
-    alone, beside = talk(f"{BEGIN}\n{LIST}", ORDER), talk(f"{BEGIN}\n{LIST}\n{other}", ORDER)
+    """Guards against an instance whose actions depend on other instances in the process."""
+    other = f"{BEGIN}\n{TOPOLOGY}\n{ORDER}".replace("gateway_id=3", "gateway_id=4")
+    alone, beside = (
+        run_batches(f"{BEGIN}\n{TOPOLOGY}", ORDER),
+        run_batches(f"{BEGIN}\n{TOPOLOGY}\n{other}", ORDER),
+    )
     assert alone == [line for line in beside if "gateway_id=4" not in line]
 
 
 @pytest.mark.parametrize(
     ("batch", "line", "message", "field"),
     [
-        (f"{BEGIN}\n{LIST}\n{ORDER.replace('ref=11', 'ref=x1')}", 5, "ORDER", "ref"),
-        (f"{BEGIN}\n{LIST}\n{ORDER.replace('time_left_s=3 ', '')}", 5, "ORDER", "time_left_s"),
-        (f"{BEGIN}\n{LIST}\n{ORDER.replace('weight=1', 'weight=nan')}", 5, "ORDER", "weight"),
+        (f"{BEGIN}\n{TOPOLOGY}\n{ORDER.replace('ref=11', 'ref=x1')}", 5, "ORDER", "ref"),
+        (f"{BEGIN}\n{TOPOLOGY}\n{ORDER.replace('time_left_s=3 ', '')}", 5, "ORDER", "time_left_s"),
+        (f"{BEGIN}\n{TOPOLOGY}\n{ORDER.replace('weight=1', 'weight=nan')}", 5, "ORDER", "weight"),
         (f"{BEGIN}\nTOPOLOGY gateway_id=3 how=odd index=1 items=0", 3, "TOPOLOGY", "how"),
         (f"{BEGIN}\nPEER gateway_id=3 by=1 body=%%%", 3, "PEER", "body"),
         (
@@ -118,12 +124,12 @@
         ("ELAPSED tag=1", 2, "ELAPSED", "gateway_id"),
         ("BEGIN gateway_id=3 seed=7", 2, "BEGIN", "options"),
         ("BEGIN gateway_id=3 seed=7 options={", 2, "BEGIN", "options"),
-        (f"{BEGIN}\n{LIST.replace('items=1', 'items=2')}", 5, "ITEM", "FLUSH"),
+        (f"{BEGIN}\n{TOPOLOGY.replace('items=1', 'items=2')}", 5, "ITEM", "FLUSH"),
     ],
 )
 def test_bad_lines_are_named(batch, line, message, field):
     with pytest.raises(WireError) as caught:
-        talk(batch)
+        run_batches(batch)
     text = str(caught.value)
     assert f"line {line}:" in text and message in text and field in text
 
@@ -174,7 +180,7 @@
         raise IndexError("index\nout of range")
 
     monkeypatch.setattr("thymehinge.decisions.Gateway.on_request", fail)
-    reply = talk(f"{BEGIN}\n{LIST}", ORDER)
+    reply = run_batches(f"{BEGIN}\n{TOPOLOGY}", ORDER)
     assert [line for line in reply if "BROKEN" in line] == [
         "BROKEN gateway_id=3 body_text=IndexError: index out of range"
     ]
@@ -182,7 +188,7 @@
 
 def test_a_garbled_peer_message_is_dropped():
     body = base64.b64encode(b"\x54 rubbish").decode()
-    assert talk(f"{BEGIN}\n{LIST}", f"PEER gateway_id=3 by=1 body={body}", ORDER)[-1] == "FINISHED"
+    assert run_batches(f"{BEGIN}\n{TOPOLOGY}", f"PEER gateway_id=3 by=1 body={body}", ORDER)[-1] == "FINISHED"
 
 
 def test_the_readme_example_runs():
@@ -190,4 +196,4 @@
     code = text.split("```python\n")[1].split("```")[0]
     run = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT, check=False)
     assert run.returncode == 0, run.stderr
-    assert "Send(request=1" in run.stdout
+    assert "Send(request_id=1" in run.stdout
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -18,7 +18,9 @@
 
 SIZES, SPREADS, SEEDS = (1, 2, 3, 5, 20, 30, 200), ("even", "uneven"), range(3)
 TAIL = 1.3  # of the Pareto distribution of traffic over gateways: some see several times the mean
-RULE = dict(cold_share=0.25, cold_time=10.0, fall_multiple=2.0, fall_time=2.0, tick=0.001)
+RULE = dict(
+    slow_start_capacity=0.25, slow_start_duration=10.0, overload_multiple=2.0, overload_window=2.0, tick=0.001
+)
 LEARN = 6.0  # s for gateways to learn what warm servers bear
 
 
@@ -99,8 +101,8 @@
     steady: dict(load=0.9),
     replaced: dict(load=0.6),
     restarted: dict(load=0.9),
-    jump: dict(load=0.9, cold=1, room=4, other=0.2, fall_multiple=1.5),
-    flapping: dict(load=0.7, cold=2, work=0.1, room=2, fall_time=2.5, fall_multiple=3.0),
+    jump: dict(load=0.9, cold=1, room=4, other=0.2, overload_multiple=1.5),
+    flapping: dict(load=0.7, cold=2, work=0.1, room=2, overload_window=2.5, overload_multiple=3.0),
 }
 
 
@@ -122,13 +124,15 @@
     assert held and used > 0
 
 
-def cold_list(*names: str, started: float = 100.0, kind: api.ListKind = api.ListKind.FULL) -> api.ServerList:
-    return api.ServerList(kind, 1, tuple(api.Server(n, started=started) for n in names))
+def cold_list(
+    *names: str, started: float = 100.0, kind: api.ListKind = api.ListKind.SNAPSHOT
+) -> api.ServerList:
+    return api.ServerList(kind, 1, tuple(api.Server(n, started_at=started) for n in names))
 
 
 def with_history() -> Drive:
     """A gateway that has one request out at a cold server, which the last whole list lacks."""
-    d = Drive(settings(peers=False, cold_share=0.9))
+    d = Drive(settings(peers_enabled=False, slow_start_capacity=0.9))
     d.gateway.fleet.warm_rate = 20.0
     d.give(cold_list("c"))
     assert d.out(d.request())
@@ -150,7 +154,11 @@
     d = with_history()
     match how:
         case "gone":
-            d.give(api.ServerList(api.ListKind.CHANGES, 2, (api.Server("c", api.State.GONE, started=100.0),)))
+            d.give(
+                api.ServerList(
+                    api.ListKind.DELTA, 2, (api.Server("c", api.LifecycleState.GONE, started_at=100.0),)
+                )
+            )
         case "long ago":
             d.run(DEPARTED_LIFE + 1.0)
             assert not d.gateway.fleet.departed
@@ -166,9 +174,9 @@
 
 def test_a_send_to_a_cold_server_does_not_wait_past_the_time_of_its_budget():
     """What is decided in two windows may be written in one: the budget is half of what is allowed."""
-    d = Drive(settings(peers=False, cold_share=0.9))
+    d = Drive(settings(peers_enabled=False, slow_start_capacity=0.9))
     d.gateway.fleet.warm_rate = 20.0
     d.give(cold_list("c"))
     d.request()
     (send,) = (action for _, action in d.log if isinstance(action, api.Send))
-    assert send.begin_by <= d.now + d.settings.fall_time
+    assert send.start_deadline <= d.now + d.settings.overload_window
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -44,8 +44,8 @@
 def test_discovery_gives_the_list_and_then_its_changes():
     gone = {"host": "s1", "health": "Gone"}
     lists, calls = heard([whole(41, ENTRY | {"born_ms": 5000}), whole(43, gone, complete=False)], 2)
-    assert lists[0].whole and lists[0].servers[0].started == 5.0 and lists[0].dials == {"s1": (HOST, 1)}
-    assert not lists[1].whole and lists[1].servers[0].state is api.State.GONE
+    assert lists[0].whole and lists[0].servers[0].started_at == 5.0 and lists[0].dials == {"s1": (HOST, 1)}
+    assert not lists[1].whole and lists[1].servers[0].state is api.LifecycleState.GONE
     assert calls[0] == "/discovery/hosts" and calls[1].startswith("/discovery/hosts?since=41&timeout_ms=")
 
 
@@ -81,7 +81,7 @@
     """Guards against staying on an old list over one entry, and against missing what that one told."""
     good = ENTRY | {"host": "s2"}
     lists, calls = heard([whole(41, bad, good), whole(44, ENTRY, good)], 2)
-    assert [[s.server for s in each.servers] for each in lists] == [["s2"], ["s1", "s2"]]
+    assert [[s.name for s in each.servers] for each in lists] == [["s2"], ["s1", "s2"]]
     assert calls[:2] == ["/discovery/hosts"] * 2
 
 
@@ -92,7 +92,7 @@
     monkeypatch.setattr(call_schedule, "ANSWER", 0.2)
     draining = whole(9, ENTRY | {"health": "Terminating"})
     lists, calls = heard([whole(1, ENTRY), SILENT, SILENT, draining], 2)
-    assert [s.state for s in lists[1].servers] == [api.State.DRAINING]
+    assert [s.state for s in lists[1].servers] == [api.LifecycleState.DRAINING]
     assert calls[:4] == [calls[0], f"{calls[0]}?since=1&timeout_ms=100", calls[0], calls[0]]
 
 
@@ -308,7 +308,7 @@
         address, calls = await scripted([*before, trouble, draining])
         told: asyncio.Queue[HostList] = asyncio.Queue()
         task = asyncio.create_task(follow(address, told.put_nowait, 2**20))
-        while [s.state for s in (await soon(told)).servers] != [api.State.DRAINING]:
+        while [s.state for s in (await soon(told)).servers] != [api.LifecycleState.DRAINING]:
             pass
         task.cancel()
         with suppress(asyncio.CancelledError):
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -136,14 +136,14 @@
 
         def answered_meanwhile(now: float, event: api.Event) -> list[api.Action]:
             if isinstance(event, api.Request):
-                kit.driver.abandon(kit.driver.exchanges[event.request])
+                kit.driver.abandon(kit.driver.exchanges[event.request_id])
             return handle(now, event)
 
         kit.driver.gateway.handle = answered_meanwhile
         client = await kit.client()
         client.write(command())
         assert str(await client.read()) == "BUSY"
-        assert (await kit.until(api.Outcome)).result is Result.MOOT
+        assert (await kit.until(api.Outcome)).result is Result.NOT_SENT
         assert not kit.driver.exchanges and not kit.driver.gateway.jobs and came.empty()
         assert kit.driver.gateway.fleet.out == 0
 
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -79,7 +79,7 @@
         (exchange,) = kit.driver.exchanges.values()
         client.close()
         (attempt,) = exchange.attempts
-        kit.driver.servers.give_up(attempt, api.Result.FULL)  # as if its answer had been read first
+        kit.driver.servers.give_up(attempt, api.Result.REJECTED)  # as if its answer had been read first
         assert not any(a.connection or a.out for a in exchange.attempts)
         assert not kit.driver.exchanges and not kit.driver.gateway.jobs
         assert await server.ended() and came.empty()
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -14,7 +14,7 @@
 from thymehinge.emulator.network import Network
 from thymehinge.emulator.servers import Attempt, Kind, TableServer
 from thymehinge.emulator.slopes import stated
-from thymehinge.interface import ListKind, Result, State
+from thymehinge.interface import LifecycleState, ListKind, Result
 
 TINY = hollow.Sizes((4, 8), 4, 6, (6, 24), 2.0)
 
@@ -25,7 +25,7 @@
 def at_home_everywhere(self, plan, request, settings, now):
     """Each gateway takes itself for a customer's home."""
     CUSTOMER(self, plan, request, settings, now)
-    self.homes = [settings.gateway] if self.homes else []
+    self.homes = [settings.gateway_index] if self.homes else []
 
 
 def figures(seed: int, *parts) -> dict[str, float]:
@@ -95,16 +95,16 @@
 
     def tell(gateway: int, event: api.ServerList) -> None:
         kinds.append(event.kind)
-        if event.kind is ListKind.FULL:
+        if event.kind is ListKind.SNAPSHOT:
             lists[gateway].clear()
         for entry in event.servers:
-            lists[gateway][entry.server] = entry
-            if entry.state is State.GONE:
-                del lists[gateway][entry.server]
+            lists[gateway][entry.name] = entry
+            if entry.state is LifecycleState.GONE:
+                del lists[gateway][entry.name]
 
     rates = Rates(restart=0.02, server=0.01, rack=0.005, zone=0.002)
     discovery = Discovery(
-        clock, Layout(40), rates, 3, tell, lambda entry: alive.update({entry.server: entry.state})
+        clock, Layout(40), rates, 3, tell, lambda entry: alive.update({entry.name: entry.state})
     )
     discovery.send_list(0)
     discovery.send_list(1)
@@ -114,8 +114,11 @@
     clock.run(60.0)
     for gateway in range(3):
         discovery.send_changes(gateway)
-    assert lists[0] == lists[1] == lists[2] == discovery.listed and ListKind.CHANGES in kinds
-    assert any(entry.started > 0 for entry in discovery.listed.values()) and State.GONE in alive.values()
+    assert lists[0] == lists[1] == lists[2] == discovery.listed and ListKind.DELTA in kinds
+    assert (
+        any(entry.started_at > 0 for entry in discovery.listed.values())
+        and LifecycleState.GONE in alive.values()
+    )
 
 
 def test_a_restart_and_a_lost_zone_are_told_entry_by_entry():
@@ -123,7 +126,7 @@
     fleet.discovery.restart("t0")
     assert not fleet.discovery.restart("t0")  # it is under way
     fleet.run(10.0)
-    assert fleet.discovery.entries == [12 + 3] * 2 and fleet.servers["t0"].entry.started > 0
+    assert fleet.discovery.entries == [12 + 3] * 2 and fleet.servers["t0"].entry.started_at > 0
     zone = fleet.discovery.groups["zone"][1]
     fleet.discovery.lose(zone)
     fleet.run(3.0)
@@ -135,9 +138,12 @@
 
 def table_server(**kind: float) -> tuple[Clock, TableServer, list[tuple[float, Result]]]:
     clock, ends = Clock(1), []
-    entry = api.Server("t", started=clock.now)
+    entry = api.Server("t", started_at=clock.now)
     server = TableServer(
-        clock, entry, Kind(**kind), lambda attempt, result: ends.append((clock.now - entry.started, result))
+        clock,
+        entry,
+        Kind(**kind),
+        lambda attempt, result: ends.append((clock.now - entry.started_at, result)),
     )
     return clock, server, ends
 
@@ -150,13 +156,13 @@
 def test_a_table_server_turns_away_what_its_queue_does_not_hold():
     clock, server, ends = table_server(cores=2, room=3, cold_time=0.0)
     attempts(server, 7)
-    assert ends == [(0.0, Result.FULL)] * 2 and server.report() == {"inflight": 5.0, "queue": 3.0}
-    server.state = State.DRAINING  # it ends what it has and takes nothing new
+    assert ends == [(0.0, Result.REJECTED)] * 2 and server.report() == {"inflight": 5.0, "queue": 3.0}
+    server.state = LifecycleState.DRAINING  # it ends what it has and takes nothing new
     attempts(server, 1)
     assert len(ends) == 3
     clock.run(10.0)
     assert [at for at, result in ends if result is Result.OK] == [1.0, 1.0, 2.0, 2.0, 3.0]
-    server.state = State.GONE
+    server.state = LifecycleState.GONE
     attempts(server, 1)
     assert len(ends) == 8 and server.gateways == set(range(7))
 
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -9,7 +9,7 @@
 from rules import Drive, settings
 
 from thymehinge import interface as api
-from thymehinge.interface import Repeat, Result, Scope
+from thymehinge.interface import DedupScope, Idempotency, Result
 
 USUAL, LARGE = 200, 3200  # table servers
 WORK = 0.05  # s that a server takes for a request
@@ -21,10 +21,13 @@
 
 def play(servers: int, requests: int, rate: float, seed: int = 1, failing: frozenset[str] = frozenset()):
     """Who got a request, how often, at this rate (1/s) in a calm fleet of so many servers."""
-    classes = (api.RequestClass("lookup", aim=1.0, deadline=3.0),)
+    classes = (api.RequestClass("lookup", latency_target=1.0, timeout=3.0),)
     plan = api.Plan("hard", rate=10**4, burst=10**5)
-    d = Drive(settings(classes=classes, plans=(plan,), gateways=1, peers=False, second_copies=False), seed)
-    d.give(api.ServerList(api.ListKind.FULL, 1, entries(servers)))
+    d = Drive(
+        settings(classes=classes, plans=(plan,), gateway_count=1, peers_enabled=False, hedging_enabled=False),
+        seed,
+    )
+    d.give(api.ServerList(api.ListKind.SNAPSHOT, 1, entries(servers)))
     rng, counts, ends = random.Random(seed), {}, []
     for _ in range(requests):
         due = d.now + rng.expovariate(rate)
@@ -62,9 +65,16 @@
 
 def test_a_keyed_repeat_finds_the_servers_of_its_cell_in_a_large_fleet():
     """Guards the group of a key: its cell has ten servers, of which the gateway knows none yet."""
-    keyed = api.RequestClass("pay", aim=1.0, deadline=3.0, repeat=Repeat.KEYED, scope=Scope.CELL, window=2.0)
-    d = Drive(settings(classes=(keyed,), second_copies=False))
-    d.give(api.ServerList(api.ListKind.FULL, 1, entries(LARGE)))
+    keyed = api.RequestClass(
+        "pay",
+        latency_target=1.0,
+        timeout=3.0,
+        idempotency=Idempotency.KEYED,
+        dedup_scope=DedupScope.CELL,
+        dedup_window=2.0,
+    )
+    d = Drive(settings(classes=(keyed,), hedging_enabled=False))
+    d.give(api.ServerList(api.ListKind.SNAPSHOT, 1, entries(LARGE)))
     for _ in range(3):
         request = d.request(cls="pay", customer=d.next)
         d.end(request, Result.RESET)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,13 +1,13 @@
-"""The size limits of the decision module."""
+"""Checks the size limits of the decision module."""
 
 from __future__ import annotations
 
 from pathlib import Path
 
-BRAIN = Path(__file__).parent.parent / "thymehinge" / "decisions.py"
+DECISIONS_MODULE = Path(__file__).parent.parent / "thymehinge" / "decisions.py"
 
 
 def test_the_module_stays_within_its_limits():
-    lines = BRAIN.read_text().splitlines()
+    lines = DECISIONS_MODULE.read_text().splitlines()
     assert sum(bool(line.strip()) for line in lines) <= 1200
     assert max(map(len, lines)) <= 110
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -16,14 +16,16 @@
 
 def test_a_fleet_does_not_fill_a_cold_server():
     """A free first request from each of hundreds of gateways is hundreds at once."""
-    fleet = [Drive(settings(gateways=300, gateway=i, peers=False), seed=i) for i in range(300)]
+    fleet = [
+        Drive(settings(gateway_count=300, gateway_index=i, peers_enabled=False), seed=i) for i in range(300)
+    ]
     rng, cold = random.Random(5), 0
     for d in fleet:
         d.give(servers("w1", "w2", "w3"))
     for step in range(400):
         if step == 300:
             for d in fleet:
-                d.give(api.ServerList(api.ListKind.CHANGES, 2, (api.Server("c", zone="a", started=d.now),)))
+                d.give(api.ServerList(api.ListKind.DELTA, 2, (api.Server("c", zone="a", started_at=d.now),)))
         for d in fleet:
             d.run(0.02)
         for d in rng.sample(fleet, 6):
@@ -36,7 +38,7 @@
 
 def test_after_a_stall_of_our_own_answers_come_before_judgement():
     """Stalled gateways took the silence of their own pause for lost asks, and spent what was not granted."""
-    d = Drive(settings(gateways=2))
+    d = Drive(settings(gateway_count=2))
     d.give(servers("s1", "s2"))
     tries = (d.gateway.customer(d.now, api.Request(0, 1, "", "hard", key, spread=2)) for key in range(50))
     key = next(c.key for c in tries if c.homes[0] == 1)
@@ -53,7 +55,7 @@
 
 def test_a_timer_once_overtaken_is_not_set_again():
     """Each overtaken timer used to be set anew when it came: they multiplied until the day was cut off."""
-    d = Drive(settings(gateways=1))
+    d = Drive(settings(gateway_count=1))
     d.give(servers("s1", "s2"))
     for step in range(200):
         r = d.request(customer=step)
@@ -67,7 +69,7 @@
 
 def test_a_low_bound_refuses_by_chance_and_the_least_worth_first():
     """Hundreds of gateways with one request out at each are an overload; a bound of one each is none."""
-    cheap = dataclasses.replace(LOOKUP, name="cheap", worth=0.1)
+    cheap = dataclasses.replace(LOOKUP, name="cheap", value=0.1)
     d = Drive(settings(classes=(LOOKUP, cheap)))
     d.give(servers("s1", "s2"))
     kept = {"lookup": 0, "cheap": 0}
@@ -84,7 +86,7 @@
 
 def test_no_class_is_shut_out_while_another_is_admitted():
     """ward-records, roll+mass: 0.92 of the reports and 0.87 of the lookups were refused for dearer orders."""
-    cheap = dataclasses.replace(LOOKUP, name="cheap", worth=0.01)
+    cheap = dataclasses.replace(LOOKUP, name="cheap", value=0.01)
     d = Drive(settings(classes=(LOOKUP, cheap)))
     fleet = d.gateway.fleet
     fleet.limit = 1.0
@@ -117,7 +119,7 @@
 
 def test_a_standing_queue_in_the_servers_is_drained():
     """Incident if2c4dc: with every server slow, one request kept at each of them never let them recover."""
-    d = Drive(settings(second_copies=False))
+    d = Drive(settings(hedging_enabled=False))
     d.give(servers(*[f"s{i}" for i in range(20)]))
     for step in range(300):
         d.request(customer=step)
@@ -135,17 +137,17 @@
         api.ClientGone(99),
         api.TimerDue(12345),
         api.StreamStarted(99, 0, "s9", 0.1),
-        api.Counted(1, Result.OK, 3.0),
-        api.Probed("s9", Result.OK, 0.1),
+        api.CounterResult(1, Result.OK, 3.0),
+        api.ProbeResult("s9", Result.OK, 0.1),
         api.ServerList(api.ListKind.FAILED),
         api.PeerMessage(50, Notes.write(0.0, [])),
         api.PeerMessage(0, Notes.write(0.0, [])),
-        api.ServerList(api.ListKind.CHANGES, 3, (api.Server("s8", api.State.GONE),)),
+        api.ServerList(api.ListKind.DELTA, 3, (api.Server("s8", api.LifecycleState.GONE),)),
     ):
         d.give(event)
     request = api.Request(1, 1.0, "no such class", "no such plan", 5)
     assert any(isinstance(a, api.Send) for a in d.gateway.handle(d.now, request))
-    d.give(api.ServerList(api.ListKind.FULL, 4, ()))
+    d.give(api.ServerList(api.ListKind.SNAPSHOT, 4, ()))
     assert d.gateway.handle(d.now, api.Outcome(1, 7, "s1", Result.OK, 0.1, False)) is not None
 
 
@@ -165,11 +167,11 @@
 
 
 def test_a_list_that_must_be_asked_for_is_subscribed_to_and_again_after_a_failure():
-    d = Drive(settings(subscribe=True))
+    d = Drive(settings(watch_required=True))
     d.give(servers("s1"))
     d.give(api.ServerList(api.ListKind.FAILED))
     d.run(5.0)
-    assert sum(isinstance(a, api.Watch) for _, a in d.log) == 2
+    assert sum(isinstance(a, api.WatchServers) for _, a in d.log) == 2
 
 
 def test_a_streamed_answer_has_no_deadline():
@@ -185,15 +187,15 @@
 @pytest.mark.parametrize(
     "change",
     [
-        dict(gateways=0),
-        dict(gateways=10**40),
-        dict(classes=(api.RequestClass("c", aim=1.0, deadline=1.0, worth=float("inf")),)),
-        dict(gateway=3),
+        dict(gateway_count=0),
+        dict(gateway_count=10**40),
+        dict(classes=(api.RequestClass("c", latency_target=1.0, timeout=1.0, value=float("inf")),)),
+        dict(gateway_index=3),
         dict(classes=()),
         dict(max_attempts=0),
-        dict(cold_share=2.0),
+        dict(slow_start_capacity=2.0),
         dict(plans=(api.Plan("p", rate=-1.0),)),
-        dict(classes=(api.RequestClass("c", aim=0.0, deadline=1.0),)),
+        dict(classes=(api.RequestClass("c", latency_target=0.0, timeout=1.0),)),
     ],
 )
 def test_nonsensical_settings_are_named(change):
@@ -205,7 +207,7 @@
 def test_a_gateway_of_a_large_fleet_remembers_a_failing_server_longer():
     levels = []
     for count in (10, 80):
-        d = Drive(settings(gateways=count))
+        d = Drive(settings(gateway_count=count))
         d.give(servers(*[f"s{i}" for i in range(count)]))
         r = d.request()
         bad = d.gateway.fleet.backends[d.sent[r][0][0]]
@@ -217,18 +219,18 @@
 
 def test_a_cost_of_a_large_fleet_is_that_of_a_small_one():
     """Each request ranked every server: days at full size were cut off for CPU."""
-    d = Drive(settings(gateways=300))
+    d = Drive(settings(gateway_count=300))
     d.give(servers(*[f"s{i}" for i in range(300)]))
     looked: list[str] = []
     plain = d.gateway.fleet.expected
-    d.gateway.fleet.expected = lambda b, now, work: looked.append(b.entry.server) or plain(b, now, work)
+    d.gateway.fleet.expected = lambda b, now, work: looked.append(b.entry.name) or plain(b, now, work)
     d.request()
     assert 1 <= len(looked) <= 16
 
 
 def test_a_lost_attempt_is_no_congestion_and_leaves_its_server_in_use():
     """Guards against a fleet left idle over a few requests that fell silent: others were answered since."""
-    d = Drive(settings(second_copies=False))
+    d = Drive(settings(hedging_enabled=False))
     d.give(servers("s1"))
     lost = d.request(customer=1, plan="soft")
     assert d.out(lost)
@@ -267,7 +269,7 @@
 
 def test_a_silent_server_gets_one_more_request_that_tells_a_queue_from_a_loss():
     """Guards against servers that stand idle behind one request each that will never be answered."""
-    d = Drive(settings(second_copies=False))
+    d = Drive(settings(hedging_enabled=False))
     d.give(servers("s1"))
     silent = d.request(customer=1, plan="soft")
     d.run(1.4)
@@ -280,7 +282,7 @@
 
 def refused_share(slow: tuple[str, ...], latency: float) -> float:
     """Ten requests a second over twenty servers, of which some answer late: the share that is refused."""
-    d = Drive(settings(gateways=40, second_copies=False, cancel=False))
+    d = Drive(settings(gateway_count=40, hedging_enabled=False, cancel_enabled=False))
     d.give(servers(*[f"s{i}" for i in range(20)]))
     ids = []
     for step in range(600):
@@ -300,21 +302,21 @@
 
 def test_a_large_fleet_puts_cold_servers_to_use_while_they_are_cold():
     """join+vast, seed 3: to each gateway the old servers looked idle; of 36 new ones 20 were never used."""
-    patient = dataclasses.replace(LOOKUP, aim=4.0, deadline=9.0)
-    cold = tuple(api.Server(f"c{i}", zone="a", started=110.0) for i in range(12))
+    patient = dataclasses.replace(LOOKUP, latency_target=4.0, timeout=9.0)
+    cold = tuple(api.Server(f"c{i}", zone="a", started_at=110.0) for i in range(12))
     counts = {}
     for aim in (LOOKUP, patient):
-        d = Drive(settings(gateways=40, classes=(aim,), second_copies=False))
+        d = Drive(settings(gateway_count=40, classes=(aim,), hedging_enabled=False))
         d.give(servers(*[f"w{i}" for i in range(8)]))
         for step in range(140):
             if step == 100:
-                d.give(api.ServerList(api.ListKind.CHANGES, 2, cold))
-            d.request(customer=step, time_left=aim.deadline)
+                d.give(api.ServerList(api.ListKind.DELTA, 2, cold))
+            d.request(customer=step, time_left=aim.timeout)
             d.run(0.1)
             for r in [r for r in d.sent if d.out(r)]:
                 if d.now - d.sent[r][0][1] >= (0.6 if d.sent[r][0][0][0] == "c" else 0.12):
                     d.end(r)
-        counts[aim.aim] = sum(tries[0][0][0] == "c" for tries in d.sent.values())
+        counts[aim.latency_target] = sum(tries[0][0][0] == "c" for tries in d.sent.values())
     assert 3 <= counts[4.0] <= 20  # of 40: capacity is 12 times 0.2 to 0.5 there, 8 here
     assert counts[1.0] < counts[4.0]  # an aim that a cold server's pace would miss goes to a warm one
 
@@ -322,13 +324,13 @@
 def waiting(place: str) -> tuple[Drive, int]:
     """A request that waits in one of the ways there are, and would go on within the second."""
     if place == "asked":  # of a home that has not answered yet
-        d = Drive(settings(gateways=3))
+        d = Drive(settings(gateway_count=3))
         d.give(servers("s1", "s2"))
         tries = [api.Request(0, 3.0, "lookup", "hard", customer, 1.0, 3) for customer in range(9)]
-        away = [t.customer for t in tries if Customer(HARD, t, d.settings, 0.0).homes[0] != 0]
+        away = [t.customer_id for t in tries if Customer(HARD, t, d.settings, 0.0).homes[0] != 0]
         r = d.request(customer=away[0], spread=3)
     elif place == "held":  # in line for a slot
-        d = Drive(settings(plans=(api.Plan("open", max_open=1),)))
+        d = Drive(settings(plans=(api.Plan("open", max_in_flight=1),)))
         d.give(servers("s1", "s2"))
         d.request(plan="open")
         r = d.request(plan="open")
@@ -342,7 +344,7 @@
         r = d.request() if place == "further" else 0
         d.gateway.fleet.backends["s1"].unit = 9.0
         if r:
-            d.end(r, Result.FULL)
+            d.end(r, Result.REJECTED)
         else:
             r = d.request()
     return d, r
@@ -368,8 +370,8 @@
 
 def test_an_answer_within_its_own_classs_aim_is_no_congestion():
     """roll+mass: long work was held against the shortest aim, and table-views starved at a low bound."""
-    patient = dataclasses.replace(LOOKUP, name="patient", aim=4.0, deadline=9.0)
-    d = Drive(settings(classes=(LOOKUP, patient), gateways=1))
+    patient = dataclasses.replace(LOOKUP, name="patient", latency_target=4.0, timeout=9.0)
+    d = Drive(settings(classes=(LOOKUP, patient), gateway_count=1))
     d.give(servers("s1", "s2", "s3"))
     least = d.gateway.fleet.limit
     for step in range(60):
@@ -383,7 +385,7 @@
 
 def heard(limit: float, theirs: float, notes: int) -> float:
     """A gateway's bound on work out after so many notes from peers with theirs."""
-    d = Drive(settings(gateways=40))
+    d = Drive(settings(gateway_count=40))
     d.give(servers("s1", "s2"))
     d.gateway.fleet.limit = limit
     for _ in range(notes):
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -56,7 +56,7 @@
         server.write(served(b"value", b"inflight=7,queue=2,util=0.61"))
         assert await client.read() == b"value"
         outcome = await kit.until(api.Outcome)
-        assert outcome.report == {"inflight": 7, "queue": 2, "util": 0.61} and outcome.final
+        assert outcome.load_report == {"inflight": 7, "queue": 2, "util": 0.61} and outcome.final
         assert not kit.driver.exchanges
 
     run(test())
@@ -158,7 +158,7 @@
             client.write(command())
             await kit.until(api.Request)
             kit.driver.on_list(hosts(2, False, s1=(dial, "Terminating")))
-            assert (await kit.until(api.Outcome)).result is Result.MOOT
+            assert (await kit.until(api.Outcome)).result is Result.NOT_SENT
             assert "s1" not in kit.driver.servers.pools
 
     run(test())
@@ -169,7 +169,7 @@
         kit, came = await kit_with_server()
         client, server = await request_in_hand(kit, came)
         client.writer.close()
-        await kit.until(api.ClientGone, request=1)
+        await kit.until(api.ClientGone, request_id=1)
         assert await server.ended()
         assert (await kit.until(api.Outcome)).result is Result.CANCELLED
         assert not kit.driver.exchanges and not kit.driver.servers.pools["s1"].count
@@ -230,7 +230,7 @@
         handle = kit.driver.gateway.handle
 
         def defect(now: float, event: api.Event) -> list[api.Action]:
-            if isinstance(event, api.Request) and event.request == 1:
+            if isinstance(event, api.Request) and event.request_id == 1:
                 raise IndexError("planted")
             return handle(now, event)
 
@@ -358,7 +358,9 @@
         old.write(served(b"one"))
         assert await client.read() == b"one"
         kit.ahead += 20.0  # since the last list: it may have started in that time, and is warm
-        entry = dataclasses.replace(kit.driver.gateway.fleet.backends["s1"].entry, started=time.time() - 15.0)
+        entry = dataclasses.replace(
+            kit.driver.gateway.fleet.backends["s1"].entry, started_at=time.time() - 15.0
+        )
         told = dataclasses.replace(hosts(2, False, s1=dial), servers=(entry,))
         kit.driver.on_list(told)
         assert await old.ended()
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -25,7 +25,7 @@
     ids = [d.request() for _ in range(10)]
     assert 7 <= sent(d, ids) < 10
     d.run(0.6)
-    order = [a.request for _, a in d.log if isinstance(a, api.Send)]
+    order = [a.request_id for _, a in d.log if isinstance(a, api.Send)]
     assert order == sorted(order) and len(order) == 10
 
 
@@ -34,11 +34,11 @@
     d.give(servers("s1", "s2"))
     ids = [d.request() for _ in range(30)]
     last = d.final[ids[-1]]
-    assert isinstance(last, api.Refuse) and 0 < last.after <= d.settings.max_retry_advice
+    assert isinstance(last, api.Refuse) and 0 < last.retry_after <= d.settings.max_retry_after
 
 
 def test_without_peers_a_customer_starts_at_the_even_slice():
-    d = Drive(settings(peers=False))
+    d = Drive(settings(peers_enabled=False))
     d.give(servers("s1", "s2"))
     ids = [d.request(spread=2) for _ in range(8)]
     assert 3 <= sent(d, ids) <= 4
@@ -68,7 +68,7 @@
 
 def test_a_class_worth_less_waits_less_for_tokens():
     """Guards against a long aim alone winning the customer's tokens."""
-    cheap = dataclasses.replace(LOOKUP, name="cheap", worth=0.1, aim=5.0, deadline=9.0)
+    cheap = dataclasses.replace(LOOKUP, name="cheap", value=0.1, latency_target=5.0, timeout=9.0)
     d = Drive(settings(classes=(LOOKUP, cheap)))
     d.give(servers(*[f"s{i}" for i in range(12)]))
     for _ in range(9):
@@ -78,15 +78,15 @@
 
 
 def test_true_units_are_settled():
-    d = Drive(settings(settles=True))
+    d = Drive(settings(postpaid=True))
     d.give(servers("s1", "s2"))
     first = d.request(units=1.0)
-    d.end(first, units=8.0)
+    d.end(first, billed_units=8.0)
     assert not d.sent.get(d.request())
 
 
 def test_a_limit_on_attempts_out_holds():
-    plan = api.Plan("open", max_open=2)
+    plan = api.Plan("open", max_in_flight=2)
     d = Drive(settings(plans=(HARD, SOFT, plan)))
     d.give(servers("s1", "s2"))
     ids = [d.request(plan="open") for _ in range(5)]
@@ -98,8 +98,8 @@
 
 def test_what_waited_for_a_server_does_not_leave_past_the_ceiling():
     """Incident i7359eb: units drawn at release let a waiting crowd out in one burst."""
-    plan = api.Plan("capped", rate=4.0, burst=100.0, ceiling_rate=8.0, ceiling_burst=4.0, ceiling_slack=1.0)
-    slow = dataclasses.replace(LOOKUP, aim=20.0, deadline=30.0)
+    plan = api.Plan("capped", rate=4.0, burst=100.0, cap_rate=8.0, cap_burst=4.0, cap_slack=1.0)
+    slow = dataclasses.replace(LOOKUP, latency_target=20.0, timeout=30.0)
     d = Drive(settings(classes=(slow,), plans=(plan,)))
     ids = []
     for _ in range(40):
@@ -111,9 +111,9 @@
 
 def test_long_holds_do_not_reserve_the_same_tokens_twice():
     """A floor under the bucket forgot what patient requests had reserved, and they left beyond the quota."""
-    patient = dataclasses.replace(LOOKUP, aim=10.0, deadline=20.0)
-    plan = api.Plan("small", rate=4.0, burst=4.0, over_cost=1.0)
-    d = Drive(settings(classes=(patient,), plans=(plan,), gateways=1))
+    patient = dataclasses.replace(LOOKUP, latency_target=10.0, timeout=20.0)
+    plan = api.Plan("small", rate=4.0, burst=4.0, overage_cost=1.0)
+    d = Drive(settings(classes=(patient,), plans=(plan,), gateway_count=1))
     d.give(servers(*[f"s{i}" for i in range(12)]))
     ids = [d.request(plan="small", time_left=20.0) for _ in range(60)]
     for step in range(1, 90):
--- a/tests/test_quota_across_gateways.py
+++ b/tests/test_quota_across_gateways.py
@@ -52,14 +52,14 @@
         "magic": b"\0" + good[1:],
         "long": good + good,
     }[damage]
-    d = Drive(settings(gateways=2))
+    d = Drive(settings(gateway_count=2))
     d.give(servers("s1", "s2"))
     d.give(api.PeerMessage(1, body))
     assert Notes.read(body) is None and d.gateway.fleet.limit >= 4
 
 
 def test_an_ask_replayed_or_with_absurd_fields_does_no_harm():
-    d = Drive(settings(gateways=2))
+    d = Drive(settings(gateway_count=2))
     body = Notes.write(9.0, [Notes.entry(Notes.ASK, 1, 7, 0, 4.0, 0.0, 1.0)])
     for _ in range(5):
         d.give(api.PeerMessage(1, body))
@@ -86,14 +86,14 @@
 
 def test_a_limit_on_attempts_out_holds_across_forty_gateways_and_is_used():
     """zone+vast, seed 3: each gateway let one out of its own, 1,079 of 3,647 beyond the cap."""
-    group = Group(40, plans=(HARD, api.Plan("open", max_open=3)))
+    group = Group(40, plans=(HARD, api.Plan("open", max_in_flight=3)))
     most, went = out_at_once(group, 250)
     assert most == 3
     assert went >= 75  # half of what three at once for 0.2 s could be, messages on their way
 
 
 def test_a_slot_whose_release_is_lost_comes_back():
-    group = Group(40, plans=(HARD, api.Plan("open", max_open=3)))
+    group = Group(40, plans=(HARD, api.Plan("open", max_in_flight=3)))
     group.lost = lambda sender, body: any(e[0] == Notes.RETURN for e in Notes.read(body)[1])
     most, went = out_at_once(group, 250)
     assert most == 3
@@ -102,7 +102,7 @@
 
 def test_nothing_is_asked_that_the_last_refusal_dooms():
     """A customer far beyond its quota flooded its home; lost asks then made two homes of one."""
-    d = Drive(settings(gateways=2))
+    d = Drive(settings(gateway_count=2))
     d.give(servers("s1", "s2"))
     key = homed(d, 1)
     r = d.request(customer=key, spread=2)
@@ -122,7 +122,7 @@
 
 def test_messages_keep_to_what_peers_take_in():
     """i1a4290: with twelve busy gateways most messages were lost to the intake limit."""
-    d = Drive(settings(gateways=12))
+    d = Drive(settings(gateway_count=12))
     d.give(servers("s1", "s2", "s3"))
     for step in range(400):
         d.request(customer=step, spread=12)
@@ -131,7 +131,7 @@
 
 
 def test_a_home_that_answers_now_and_then_is_not_passed_over():
-    d = Drive(settings(gateways=3))
+    d = Drive(settings(gateway_count=3))
     d.give(servers("s1", "s2"))
     key = homed(d, 1)
     for step in range(12):
@@ -148,7 +148,7 @@
 
 def test_a_slot_that_nobody_gives_back_does_not_keep_its_customer():
     """A lost release of a customer that never comes again would hold its bucket at the home for good."""
-    d = Drive(settings(gateways=40, plans=(HARD, api.Plan("open", max_open=3))))
+    d = Drive(settings(gateway_count=40, plans=(HARD, api.Plan("open", max_in_flight=3))))
     for tag in range(200):
         entry = Notes.entry(Notes.ASK, tag, 1000 + tag, 1, 1.0, 0.3, 1.0)
         d.give(api.PeerMessage(1, Notes.write(4.0, [entry])))
@@ -165,7 +165,7 @@
     first = Notes.entry(Notes.ASK, 77, 7, 0, 1.0, 0.5, 1.0)
     other = Notes.entry(Notes.ASK, 77, 8, 0, 8.0, 0.5, 1.0)
     for entry in (first, first, other):
-        home.give(api.PeerMessage(asker.settings.gateway, Notes.write(4.0, [entry])))
+        home.give(api.PeerMessage(asker.settings.gateway_index, Notes.write(4.0, [entry])))
     assert home.gateway.buckets[7].level == pytest.approx(home.gateway.buckets[7].most - 1.0)
     assert home.gateway.buckets[8].level < 0.5
 
@@ -173,10 +173,10 @@
 def test_a_short_request_whose_home_is_silent_is_decided_and_not_refused_for_that():
     """roll+mass: 1,347 of 8,700 table-views were refused with an ask out, homes being restarted."""
     for time_left in (0.5, 3.0):
-        d = Drive(settings(gateways=3))
+        d = Drive(settings(gateway_count=3))
         d.give(servers("s1", "s2"))
         tries = [api.Request(0, 3.0, "lookup", "hard", customer, 1.0, 3) for customer in range(9)]
-        away = [t.customer for t in tries if Customer(HARD, t, d.settings, 0.0).homes[0] != 0]
+        away = [t.customer_id for t in tries if Customer(HARD, t, d.settings, 0.0).homes[0] != 0]
         r = d.request(customer=away[0], spread=3, time_left=time_left)
         d.run(0.45 * time_left)
         assert d.out(r)
@@ -185,13 +185,13 @@
 def unanswered(d: Drive, plan: str = "hard", **request: object) -> tuple[int, int]:
     """A request whose home does not answer before it has to be decided; its customer and its number."""
     key = homed(d, 1)
-    r = d.request(customer=key, plan=plan, spread=d.settings.gateways, **request)
+    r = d.request(customer=key, plan=plan, spread=d.settings.gateway_count, **request)
     return key, r
 
 
 def test_a_short_request_whose_ask_left_late_is_decided_here_and_not_refused():
     """roll+mass, seed 62: 0.44 of the table-views were refused with an ask out, and no server was short."""
-    d = Drive(settings(gateways=3))
+    d = Drive(settings(gateway_count=3))
     d.give(servers("s1", "s2"))
     d.gateway.next_tell = d.now + 1.0  # what we send is paced: other messages wait before it
     _, r = unanswered(d, time_left=0.5)
@@ -201,9 +201,9 @@
 
 def test_a_request_is_decided_while_its_aim_can_be_met():
     """A class with a short aim and a long deadline spends it on asks only where they usually are answered."""
-    quick = dataclasses.replace(LOOKUP, name="quick", aim=0.2)
+    quick = dataclasses.replace(LOOKUP, name="quick", latency_target=0.2)
     for answered_share in (0.5, 1.0):
-        d = Drive(settings(gateways=3, classes=(quick,)))
+        d = Drive(settings(gateway_count=3, classes=(quick,)))
         d.give(servers("s1", "s2"))
         d.gateway.answered_share = answered_share
         _, r = unanswered(d, cls="quick", time_left=3.0)
@@ -212,7 +212,7 @@
 
 
 def test_the_share_of_asks_that_are_answered_is_learnt():
-    silent, heard = Drive(settings(gateways=3)), Drive(settings(gateways=3))
+    silent, heard = Drive(settings(gateway_count=3)), Drive(settings(gateway_count=3))
     for d in (silent, heard):
         d.give(servers("s1", "s2"))
     for _ in range(40):
@@ -230,7 +230,7 @@
 
 def test_a_grant_that_comes_after_its_units_were_used_brings_none_back():
     """Guards quotas: units that were used unasked would be given back to the customer's store."""
-    d = Drive(settings(gateways=3))
+    d = Drive(settings(gateway_count=3))
     d.give(servers("s1", "s2"))
     key, r = unanswered(d, time_left=0.5)
     tag = d.gateway.jobs[r].tag
@@ -248,7 +248,7 @@
     """Guards quotas while peers are silent: a home that was empty a moment ago grants little."""
     went = {}
     for fill in (0.0, 1.0):
-        d = Drive(settings(gateways=3))
+        d = Drive(settings(gateway_count=3))
         d.give(servers(*[f"s{i}" for i in range(12)]))
         key = homed(d, 1)
         d.gateway.customers[key].fill = fill
@@ -261,8 +261,8 @@
 
 def test_without_answers_no_more_are_out_than_the_slice_of_a_limit():
     """split+mass: each unanswered ask was let through wherever the slice is one slot or more."""
-    plan = api.Plan("open", max_open=3)
-    d = Drive(settings(gateways=3, plans=(HARD, plan)))
+    plan = api.Plan("open", max_in_flight=3)
+    d = Drive(settings(gateway_count=3, plans=(HARD, plan)))
     d.give(servers(*[f"s{i}" for i in range(12)]))
     key = homed(d, 1)
     customer = d.gateway.customer(d.now, api.Request(0, 1.0, "", "open", key, spread=3))
--- a/tests/test_real.py
+++ b/tests/test_real.py
@@ -100,7 +100,7 @@
         if hosts.whole:
             held.clear()
         for server in hosts.servers:
-            held[server.server] = server
+            held[server.name] = server
         told.put_nowait(hosts.version)
 
     async def test() -> None:
@@ -117,7 +117,7 @@
     with HttpDiscovery(HostTable(20, seed)) as discovery:
         run(test())
         listed = [read_host(entry)[0] for entry in discovery.table.entries.values()]
-    assert {n: s for n, s in held.items() if s.state.name != "GONE"} == {s.server: s for s in listed}
+    assert {n: s for n, s in held.items() if s.state.name != "GONE"} == {s.name: s for s in listed}
 
 
 @pytest.mark.parametrize("error", [RuntimeError, KeyboardInterrupt])
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -12,7 +12,7 @@
 from test_endings import Order
 
 from thymehinge import interface as api
-from thymehinge.interface import Repeat, Result, Scope
+from thymehinge.interface import DedupScope, Idempotency, Result
 from thymehinge.net.server_connection import Attempt
 
 KEYED = command(b"API.WRITE", b"c=order,t=village,d=3000,k=5c0f", b"BODY")
@@ -104,40 +104,45 @@
 def test_the_window_ends_early_by_what_a_process_may_be_held_up(window, after, again):
     """Guards the window against 0.15 s between the clock and the write; a tenth of 0.4 s was kept for it."""
     keyed = api.RequestClass(
-        "pay", aim=1.0, deadline=3.0, repeat=Repeat.KEYED, scope=Scope.ALL, window=window
+        "pay",
+        latency_target=1.0,
+        timeout=3.0,
+        idempotency=Idempotency.KEYED,
+        dedup_scope=DedupScope.ALL,
+        dedup_window=window,
     )
-    d = Drive(settings(classes=(keyed,), second_copies=False))
-    d.give(api.ServerList(api.ListKind.FULL, 1, tuple(api.Server(f"s{i}") for i in range(3))))
+    d = Drive(settings(classes=(keyed,), hedging_enabled=False))
+    d.give(api.ServerList(api.ListKind.SNAPSHOT, 1, tuple(api.Server(f"s{i}") for i in range(3))))
     d.request(cls="pay")
     d.run(after)
     d.end(1, Result.RESET)
     assert (len(d.sent[1]) == 2) is again
     sends = [action for _, action in d.log if isinstance(action, api.Send)]
     if again:
-        assert sends[1].begin_by <= d.requests[1][1] + window - STALL
+        assert sends[1].start_deadline <= d.requests[1][1] + window - STALL
 
 
 @pytest.mark.parametrize("result", [Result.RESET, Result.CONNECT_FAILED])
 def test_only_an_attempt_that_may_have_run_begins_the_window(result):
-    d = Drive(settings(second_copies=False))
-    d.give(api.ServerList(api.ListKind.FULL, 1, tuple(api.Server(f"s{i}", zone="a") for i in range(3))))
+    d = Drive(settings(hedging_enabled=False))
+    d.give(api.ServerList(api.ListKind.SNAPSHOT, 1, tuple(api.Server(f"s{i}", zone="a") for i in range(3))))
     d.request(cls="pay")
     d.run(0.5)
     d.end(1, result)
     sends = [action for _, action in d.log if isinstance(action, api.Send)]
     assert len(sends) == 2
-    assert (sends[1].begin_by < sends[1].until) is (result is Result.RESET)
+    assert (sends[1].start_deadline < sends[1].deadline) is (result is Result.RESET)
 
 
 def test_a_repeat_stays_with_the_zone_that_its_first_attempt_went_to():
     """Guards the group of a key: the list tells another zone of the same server while the attempt is out."""
-    d = Drive(settings(second_copies=False))
-    d.give(api.ServerList(api.ListKind.FULL, 1, (api.Server("s1", zone="a"),)))
+    d = Drive(settings(hedging_enabled=False))
+    d.give(api.ServerList(api.ListKind.SNAPSHOT, 1, (api.Server("s1", zone="a"),)))
     d.request(cls="pay")
     others = [api.Server(f"a{i}", zone="a") for i in range(3)] + [
         api.Server(f"b{i}", zone="b") for i in range(9)
     ]
-    d.give(api.ServerList(api.ListKind.CHANGES, 2, (api.Server("s1", zone="b"), *others)))
+    d.give(api.ServerList(api.ListKind.DELTA, 2, (api.Server("s1", zone="b"), *others)))
     d.end(1, Result.RESET)
     assert d.sent[1][-1][0].startswith("a")
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,9 +8,9 @@
 from rules import Drive, servers, settings
 
 from thymehinge import interface as api
-from thymehinge.interface import Result, State
+from thymehinge.interface import LifecycleState, Result
 
-NEVER_RAN = [Result.FULL, Result.CONNECT_FAILED]
+NEVER_RAN = [Result.REJECTED, Result.CONNECT_FAILED]
 MAY_HAVE_RUN = [Result.ERROR, Result.RESET, Result.TIMEOUT]
 
 
@@ -55,7 +55,7 @@
 
 
 def test_a_keyed_request_is_not_resent_after_its_window():
-    d = Drive(settings(second_copies=False))
+    d = Drive(settings(hedging_enabled=False))
     d.give(servers("s1", "s2", "s3"))
     d.request(cls="pay")
     d.run(1.95)
@@ -65,18 +65,18 @@
 
 @pytest.mark.parametrize("copies", [True, False])
 def test_second_copies_only_where_allowed(copies):
-    d = Drive(settings(second_copies=copies))
+    d = Drive(settings(hedging_enabled=copies))
     d.give(servers("s1", "s2"))
     d.request()
     d.run(1.0)
     assert d.out(1) == (2 if copies else 1)
 
 
-@pytest.mark.parametrize("state", [State.DRAINING, State.GONE])
+@pytest.mark.parametrize("state", [LifecycleState.DRAINING, LifecycleState.GONE])
 def test_drains_are_obeyed_at_once(state):
     d = Drive()
     d.give(servers("s1", "s2"))
-    d.give(api.ServerList(api.ListKind.CHANGES, 2, (api.Server("s1", state, "a"),)))
+    d.give(api.ServerList(api.ListKind.DELTA, 2, (api.Server("s1", state, "a"),)))
     for customer in range(20):
         d.request(customer=customer)
     assert {t[0] for tries in d.sent.values() for t in tries} == {"s2"}
@@ -98,14 +98,16 @@
     times = []
     for step in range(400):
         if step == 200:
-            d.give(api.ServerList(api.ListKind.FULL, 2, (api.Server("cold", zone="a", started=d.now),)))
+            d.give(
+                api.ServerList(api.ListKind.SNAPSHOT, 2, (api.Server("cold", zone="a", started_at=d.now),))
+            )
         d.run(0.02)
         r = d.request(customer=step)
         if d.out(r):
             if d.sent[r][-1][0] == "cold":
                 times.append(d.now)
             d.run(0.01)
-            d.end(r, Result.FULL if refuses and step >= 200 else Result.OK)
+            d.end(r, Result.REJECTED if refuses and step >= 200 else Result.OK)
     return times
 
 
@@ -144,7 +146,9 @@
     rng = random.Random(seed)
     d = Drive(
         settings(
-            second_copies=rng.random() < 0.5, max_attempts=rng.choice([1, 2, 4]), cancel=rng.random() < 0.7
+            hedging_enabled=rng.random() < 0.5,
+            max_attempts=rng.choice([1, 2, 4]),
+            cancel_enabled=rng.random() < 0.7,
         ),
         seed=seed,
     )
@@ -165,15 +169,19 @@
                 if attempt[2] is None and rng.random() < 0.08:
                     d.end(request, rng.choice([Result.OK] * 6 + NEVER_RAN + MAY_HAVE_RUN), number)
         if rng.random() < 0.05:
-            state = rng.choice(list(State))
+            state = rng.choice(list(LifecycleState))
             i = rng.randrange(len(names))
             d.give(
                 api.ServerList(
-                    api.ListKind.CHANGES,
+                    api.ListKind.DELTA,
                     2,
                     (
                         api.Server(
-                            names[i], state, "ab"[i % 2], i % 2, started=d.now if rng.random() < 0.5 else 0.0
+                            names[i],
+                            state,
+                            "ab"[i % 2],
+                            i % 2,
+                            started_at=d.now if rng.random() < 0.5 else 0.0,
                         ),
                     ),
                 )
--- a/tests/test_server_answers.py
+++ b/tests/test_server_answers.py
@@ -17,8 +17,8 @@
     [
         (b"-ERR failed queue=3\r\n", Result.ERROR, {"queue": 3}),
         (b"-ERR failed\r\n", Result.ERROR, {}),
-        (b"-BUSY queue=9,util=1\r\n", Result.FULL, {"queue": 9, "util": 1}),
-        (b"-BUSY\r\n", Result.FULL, {}),
+        (b"-BUSY queue=9,util=1\r\n", Result.REJECTED, {"queue": 9, "util": 1}),
+        (b"-BUSY\r\n", Result.REJECTED, {}),
         (b"-BUSY\r\nnoise\r\n", Result.ERROR, {}),
         (b":1\r\n", Result.ERROR, {}),
         (b"*3\r\n$-1\r\n$-1\r\n$-1\r\n", Result.ERROR, {}),
@@ -48,7 +48,7 @@
         if result is Result.RESET:
             server.writer.close()
         outcome = await kit.until(api.Outcome)
-        assert (outcome.result, outcome.report) == (result, report)
+        assert (outcome.result, outcome.load_report) == (result, report)
 
     run(test())
 
@@ -90,7 +90,7 @@
     async def test() -> None:
         for cut in range(1, min(len(spoilt), 40)):
             outcome = await answered(spoilt[:cut], spoilt[cut:])
-            assert outcome.result is Result.ERROR and not outcome.report
+            assert outcome.result is Result.ERROR and not outcome.load_report
 
     run(test())
 
@@ -123,7 +123,7 @@
         server.write(more)
         assert await client.read() == b"value"
         outcome = await kit.until(api.Outcome)
-        assert outcome.result is Result.OK and outcome.report == report
+        assert outcome.result is Result.OK and outcome.load_report == report
         if more.startswith(GOOD):
             assert await server.ended()
 
--- a/tests/test_slow_discovery.py
+++ b/tests/test_slow_discovery.py
@@ -31,7 +31,7 @@
         changed = time.monotonic()
         with suppress(TimeoutError):
             async with asyncio.timeout(2 * TOLD):
-                while [s.state for s in (await told.get()).servers] != [api.State.DRAINING]:
+                while [s.state for s in (await told.get()).servers] != [api.LifecycleState.DRAINING]:
                     pass
         return time.monotonic() - changed
     finally:
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -13,7 +13,7 @@
 from processkit import free_port, serving
 from test_descriptors import TableServer
 
-from thymehinge.interface import ListKind, Server, State
+from thymehinge.interface import LifecycleState, ListKind, Server
 from thymehinge.net.start_times import DEPARTED_MOST, StartTimes
 
 HOUR = 3600.0
@@ -126,10 +126,10 @@
         self.now, self.wall = 50.0, wall
         self.starts = StartTimes(COLD, lambda: self.now, lambda: self.wall)
 
-    def age(self, born: float, kind: ListKind = ListKind.CHANGES, name: str = "s") -> float:
+    def age(self, born: float, kind: ListKind = ListKind.DELTA, name: str = "s") -> float:
         """The age of a server that is told with this start."""
-        (server,) = self.starts.resolve((Server(name, started=born),), kind)
-        return self.now - server.started
+        (server,) = self.starts.resolve((Server(name, started_at=born),), kind)
+        return self.now - server.started_at
 
 
 COLD = 10.0
@@ -137,7 +137,7 @@
 
 def test_a_start_is_taken_from_the_wall_clock_as_it_is_when_it_is_told():
     clocks = Clocks()
-    assert clocks.age(9997.0, ListKind.STORED) == 3.0 and clocks.age(9900.0, ListKind.FULL, "t") == 100.0
+    assert clocks.age(9997.0, ListKind.CACHED) == 3.0 and clocks.age(9900.0, ListKind.SNAPSHOT, "t") == 100.0
     clocks.wall -= 3600.0
     clocks.now += 1.0
     assert clocks.age(9997.0) == 4.0  # known: the step changes nothing
@@ -147,23 +147,23 @@
 @pytest.mark.parametrize("born", [10_000.1, 10_008.0, 13_600.0, 6400.0, 9985.0])
 def test_a_start_that_cannot_be_is_now_and_moves_on_with_our_clock(born):
     clocks = Clocks()
-    clocks.age(0.0, ListKind.FULL, "other")
-    assert clocks.age(born, ListKind.CHANGES) == 0.0
+    clocks.age(0.0, ListKind.SNAPSHOT, "other")
+    assert clocks.age(born, ListKind.DELTA) == 0.0
     clocks.now += COLD
     assert clocks.age(born) == COLD
 
 
 def test_what_was_told_after_a_gap_may_have_started_in_it():
     clocks = Clocks()
-    clocks.age(0.0, ListKind.FULL, "other")
+    clocks.age(0.0, ListKind.SNAPSHOT, "other")
     clocks.now, clocks.wall = clocks.now + 20.0, clocks.wall + 20.0
-    assert clocks.age(clocks.wall - 19.0, ListKind.FULL) == 19.0
+    assert clocks.age(clocks.wall - 19.0, ListKind.SNAPSHOT) == 19.0
 
 
 def test_a_server_that_comes_back_as_it_was_keeps_its_start():
     clocks = Clocks()
-    clocks.age(9400.0, ListKind.FULL)
-    clocks.age(0.0, ListKind.FULL, "other")
+    clocks.age(9400.0, ListKind.SNAPSHOT)
+    clocks.age(0.0, ListKind.SNAPSHOT, "other")
     clocks.now += 5.0
     assert clocks.age(9400.0) == 605.0
 
@@ -172,6 +172,6 @@
     clocks = Clocks()
     for i in range(3):
         names = [f"s{i}.{j}" for j in range(2000)]
-        clocks.starts.resolve([Server(name, started=9990.0) for name in names], ListKind.FULL)
-    clocks.starts.resolve([Server(name, State.GONE) for name in names], ListKind.CHANGES)
+        clocks.starts.resolve([Server(name, started_at=9990.0) for name in names], ListKind.SNAPSHOT)
+    clocks.starts.resolve([Server(name, LifecycleState.GONE) for name in names], ListKind.DELTA)
     assert not clocks.starts.listed and len(clocks.starts.departed) == DEPARTED_MOST
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -67,13 +67,13 @@
 @pytest.mark.parametrize("advice", [0.0, 0.5, 60.0])
 def test_advice_keeps_to_the_settings(allowed, advice):
     """W13: none where it is not allowed, never more than the most."""
-    d = Drive(settings(retry_advice=allowed, max_retry_advice=1.0))
+    d = Drive(settings(retry_after_enabled=allowed, max_retry_after=1.0))
     d.request()
     job = next(iter(d.gateway.jobs.values()))
     d.gateway.actions = []
     d.gateway.finish(d.now, job, refuse=True, advice=advice)
     (refusal,) = (a for a in d.gateway.actions if isinstance(a, api.Refuse))
-    assert refusal.after == (min(advice, 1.0) if allowed else 0.0)
+    assert refusal.retry_after == (min(advice, 1.0) if allowed else 0.0)
 
 
 HALVES = [  # beginnings of commands, of nine kinds
--- a/thymehinge/__init__.py
+++ b/thymehinge/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions of a gateway that meters many customers' use of one shared service."""
+"""Request scheduling and quota enforcement for a gateway in front of a shared service."""
 
 from thymehinge.decisions import Gateway
 from thymehinge.interface import Settings
--- a/thymehinge/__main__.py
+++ b/thymehinge/__main__.py
@@ -145,7 +145,7 @@
     Clients ask on every connection that stays open. What comes now has until the end, and what is still in
     hand then is answered; what comes after that is refused at once, until the last answers have left.
     """
-    longest = driver.gateway.settings.longest_deadline
+    longest = driver.gateway.settings.longest_timeout
     kill = driver.clock() + min(longest, KILL_DEADLINE) + KILL
     driver.end = kill - KILL_MARGIN
     await asyncio.sleep(ACCEPT)
--- a/thymehinge/adapter.py
+++ b/thymehinge/adapter.py
@@ -1,6 +1,7 @@
-"""The simulator's wire on standard input and output: parse, dispatch by gateway, format, flush.
+"""Connects gateways to a simulator that speaks a line protocol on standard input and output.
 
-No decision is taken here. Each gateway instance is a `thymehinge.decisions.Gateway` of its own.
+Events come in batches between SYNC and FLUSH; each batch is answered by the resulting actions and FINISHED.
+Each gateway instance is a separate `thymehinge.decisions.Gateway`.
 """
 
 from __future__ import annotations
@@ -19,35 +20,42 @@
 RESULTS = {
     "0": api.Result.OK,
     "5": api.Result.ERROR,
-    "11": api.Result.FULL,
+    "11": api.Result.REJECTED,
     "110": api.Result.TIMEOUT,
     "111": api.Result.CONNECT_FAILED,
     "104": api.Result.RESET,
     "125": api.Result.CANCELLED,
-    "114": api.Result.MOOT,
+    "114": api.Result.NOT_SENT,
 }
-STATES = {"Running": api.State.RUNNING, "Stopping": api.State.DRAINING, "Deleted": api.State.GONE}
-LISTS = {
-    "diff": api.ListKind.CHANGES,
-    "snapshot": api.ListKind.FULL,
-    "disk": api.ListKind.STORED,
+STATES = {
+    "Running": api.LifecycleState.RUNNING,
+    "Stopping": api.LifecycleState.DRAINING,
+    "Deleted": api.LifecycleState.GONE,
+}
+LIST_KINDS = {
+    "diff": api.ListKind.DELTA,
+    "snapshot": api.ListKind.SNAPSHOT,
+    "disk": api.ListKind.CACHED,
     "error": api.ListKind.FAILED,
 }
 
 
 class WireError(Exception):
-    """A line that is not of the protocol; the text says which message and field."""
+    """A line violates the protocol; the message names the protocol message and the field."""
 
 
 class Fields:
-    """The name=value pairs of one line, read by type."""
+    """The message name and the name=value fields of one line.
+
+    The accessors raise WireError if the field is malformed, or missing without a default.
+    """
 
     def __init__(self, line: str) -> None:
         self.message, _, rest = line.partition(" ")
         self.values: dict[str, str] = {}
         while rest:
-            name, eq, rest = rest.partition("=")
-            if not eq:
+            name, separator, rest = rest.partition("=")
+            if not separator:
                 raise WireError(f"{self.message or 'line'}: field {name!r} has no value")
             if name in ("options", "body_text"):
                 self.values[name] = rest
@@ -60,212 +68,255 @@
             raise WireError(f"{self.message}: field {name} is missing")
         return value
 
-    def _read(self, kind: Callable[[str], Any], name: str, default: Any) -> Any:
+    def _read(self, convert: Callable[[str], Any], name: str, default: Any) -> Any:
         value = self.values.get(name)
         if value is None:
             if default is None:
                 raise WireError(f"{self.message}: field {name} is missing")
             return default
         try:
-            return kind(value)
+            return convert(value)
         except (ValueError, KeyError, binascii.Error):
             raise WireError(f"{self.message}: field {name} has a bad value {value[:60]!r}") from None
 
-    def int(self, name: str, default: int | None = None) -> int:
+    def integer(self, name: str, default: int | None = None) -> int:
         return self._read(int, name, default)
 
     def number(self, name: str, default: float | None = None) -> float:
+        """Returns a finite number."""
         return self._read(_finite, name, default)
 
     def flag(self, name: str) -> bool:
+        """Returns whether the field is 1; a missing field is False."""
         return self._read(lambda v: {"1": True, "0": False}[v], name, False)
 
     def choice(self, name: str, choices: dict[str, Any]) -> Any:
+        """Returns what `choices` holds for the field's value."""
         return self._read(choices.__getitem__, name, None)
 
-    def bytes(self, name: str) -> bytes:
+    def binary(self, name: str) -> bytes:
+        """Returns the bytes that the field holds in base64; "-" means none."""
         return self._read(lambda v: b"" if v == "-" else base64.b64decode(v, validate=True), name, None)
 
-    def report(self) -> dict[str, float]:
+    def load_report(self) -> dict[str, float]:
+        """Returns the load report in `stats`, written as metric:value pairs separated by commas."""
         text = self.values.get("stats", "")
         if text in ("", "-"):
             return {}
         return self._read(
-            lambda v: {k: _finite(x) for k, _, x in (p.partition(":") for p in v.split(","))}, "stats", None
+            lambda v: {
+                metric: _finite(value) for metric, _, value in (pair.partition(":") for pair in v.split(","))
+            },
+            "stats",
+            None,
         )
 
 
 def _finite(text: str) -> float:
+    """Converts text to a float; raises ValueError for NaN and infinities."""
     value = float(text)
     if value - value != 0:
         raise ValueError(text)
     return value
 
 
-def read_event(f: Fields) -> api.Event | None:
-    """One event line (lists excepted) as an event; None for a message that is not known."""
-    match f.message:
+def read_event(fields: Fields) -> api.Event | None:
+    """Converts a line other than TOPOLOGY to an event; returns None for an unknown message."""
+    match fields.message:
         case "ORDER":
             return api.Request(
-                f.int("ref"),
-                f.number("time_left_s"),
-                f.text("priority", ""),
-                f.text("tier", ""),
-                f.int("customer", 0),
-                f.number("weight", 1.0),
-                max(1, int(f.number("set_size", 1))),
-                int(f.number("from_no", 0)),
-                f.flag("is_retry"),
+                fields.integer("ref"),
+                fields.number("time_left_s"),
+                fields.text("priority", ""),
+                fields.text("tier", ""),
+                fields.integer("customer", 0),
+                fields.number("weight", 1.0),
+                max(1, int(fields.number("set_size", 1))),
+                int(fields.number("from_no", 0)),
+                fields.flag("is_retry"),
             )
         case "RESULT":
             return api.Outcome(
-                f.int("ref"),
-                f.int("seq_no"),
-                f.text("server"),
-                f.choice("disposition", RESULTS),
-                f.number("time_taken_s", 0),
-                f.flag("done_flag"),
-                f.number("billed", 0),
-                int(f.number("fleet_use", 0)),
-                f.report(),
+                fields.integer("ref"),
+                fields.integer("seq_no"),
+                fields.text("server"),
+                fields.choice("disposition", RESULTS),
+                fields.number("time_taken_s", 0),
+                fields.flag("done_flag"),
+                fields.number("billed", 0),
+                int(fields.number("fleet_use", 0)),
+                fields.load_report(),
             )
         case "STREAMING":
             return api.StreamStarted(
-                f.int("ref"), f.int("seq_no"), f.text("server"), f.number("time_taken_s", 0)
+                fields.integer("ref"),
+                fields.integer("seq_no"),
+                fields.text("server"),
+                fields.number("time_taken_s", 0),
             )
         case "CLIENT_GONE":
-            return api.ClientGone(f.int("ref"))
+            return api.ClientGone(fields.integer("ref"))
         case "ELAPSED":
-            return api.TimerDue(f.int("tag"))
+            return api.TimerDue(fields.integer("tag"))
         case "PEER":
-            return api.PeerMessage(f.int("by"), f.bytes("body"))
+            return api.PeerMessage(fields.integer("by"), fields.binary("body"))
         case "SUM":
-            return api.Counted(f.int("book"), f.choice("disposition", RESULTS), f.number("sum", 0))
+            return api.CounterResult(
+                fields.integer("book"), fields.choice("disposition", RESULTS), fields.number("sum", 0)
+            )
         case "HEALTH":
-            return api.Probed(
-                f.text("server"), f.choice("disposition", RESULTS), f.number("time_taken_s", 0), f.report()
+            return api.ProbeResult(
+                fields.text("server"),
+                fields.choice("disposition", RESULTS),
+                fields.number("time_taken_s", 0),
+                fields.load_report(),
             )
     return None
 
 
-def read_server(f: Fields) -> api.Server:
-    """One entry of a list."""
-    if f.message != "ITEM":
-        raise WireError(f"{f.message or 'empty line'}: an ITEM was due")
+def read_server(fields: Fields) -> api.Server:
+    """Converts an ITEM line to an entry of a server list."""
+    if fields.message != "ITEM":
+        raise WireError(f"{fields.message or 'empty line'}: expected ITEM")
     return api.Server(
-        f.text("server"),
-        f.choice("availability", STATES),
-        f.text("campus", ""),
-        f.int("pack", 0),
-        f.number("scale", 1.0),
-        f.number("ready_at_s", 0.0),
+        fields.text("server"),
+        fields.choice("availability", STATES),
+        fields.text("campus", ""),
+        fields.integer("pack", 0),
+        fields.number("scale", 1.0),
+        fields.number("ready_at_s", 0.0),
     )
 
 
-def format_action(gateway: int, action: api.Action) -> str:
-    """One action as a line of the wire."""
-    head, ref = f"gateway_id={gateway}", getattr(action, "request", None)
+def format_action(gateway_id: int, action: api.Action) -> str:
+    """Formats an action as a line for the simulator."""
+    prefix, request_id = f"gateway_id={gateway_id}", getattr(action, "request_id", None)
     match action:
         case api.Send():
-            return f"DELIVER {head} ref={ref} server={action.server} not_past_s={action.until:.6f}"
+            return (
+                f"DELIVER {prefix} ref={request_id} server={action.server} not_past_s={action.deadline:.6f}"
+            )
         case api.Refuse():
-            wait = f" not_before_for_s={action.after:.6f}" if action.after > 0 else ""
-            return f"REFUSE {head} ref={ref}{wait}"
+            retry_after = f" not_before_for_s={action.retry_after:.6f}" if action.retry_after > 0 else ""
+            return f"REFUSE {prefix} ref={request_id}{retry_after}"
         case api.Fail():
-            return f"ERROR {head} ref={ref}"
+            return f"ERROR {prefix} ref={request_id}"
         case api.Cancel():
-            return f"DROP_ATTEMPT {head} ref={ref} seq_no={action.attempt}"
+            return f"DROP_ATTEMPT {prefix} ref={request_id} seq_no={action.attempt}"
         case api.SetTimer():
-            return f"DEFER {head} moment_s={action.at:.6f} tag={action.tag}"
-        case api.Tell():
+            return f"DEFER {prefix} moment_s={action.due_at:.6f} tag={action.tag}"
+        case api.SendToPeer():
             body = base64.b64encode(action.body).decode() or "-"
-            return f"ANNOUNCE {head} neighbour_id={'all' if action.peer is None else action.peer} body={body}"
+            return (
+                f"ANNOUNCE {prefix} neighbour_id={'all' if action.peer is None else action.peer} body={body}"
+            )
         case api.Probe():
-            return f"HEALTH_CHECK {head} server={action.server}"
-        case api.AddCount():
-            return f"INCR {head} book={action.name} ttl_s={action.lifetime:.3f} amount={action.amount:g}"
-        case api.Watch():
-            return f"OBSERVE {head} enable=1"
-        case api.Fetch():
-            return f"REFRESH {head}"
+            return f"HEALTH_CHECK {prefix} server={action.server}"
+        case api.IncrementCounter():
+            return f"INCR {prefix} book={action.counter} ttl_s={action.ttl:.3f} amount={action.amount:g}"
+        case api.WatchServers():
+            return f"OBSERVE {prefix} enable=1"
+        case api.FetchServers():
+            return f"REFRESH {prefix}"
         case api.Log():
-            return f"LOG {head} body_text={' '.join(action.text.split())}"
+            return f"LOG {prefix} body_text={' '.join(action.text.split())}"
     raise TypeError(f"unknown action {action!r}")
 
 
 class Adapter:
-    """The gateways of one process and the lines between them and the simulator."""
+    """Holds the gateway instances of one process and dispatches messages to them."""
 
     def __init__(self) -> None:
         self.gateways: dict[int, Gateway] = {}
         self.now: float | None = None
 
-    def step(self, number: int, now: float, event: Callable[[], api.Event] | api.Event) -> Iterable[str]:
-        """Give one instance one event; what it raises becomes one BROKEN line."""
-        gateway = self.gateways.get(number)
+    def dispatch(
+        self, gateway_id: int, now: float, event: Callable[[], api.Event] | api.Event
+    ) -> Iterable[str]:
+        """Passes an event to one instance and returns its actions as lines.
+
+        An exception in the instance is reported as one BROKEN line.
+        """
+        gateway = self.gateways.get(gateway_id)
         if gateway is None:
             return []
         try:
-            return [format_action(number, action) for action in gateway.handle(now, event)]
-        except Exception as error:  # the wire asks for any failure of the module as one line
+            return [format_action(gateway_id, action) for action in gateway.handle(now, event)]
+        except Exception as error:  # the protocol reports any failure of an instance as one line
             text = " ".join(f"{type(error).__name__}: {error}".split())
-            return [f"BROKEN gateway_id={number} body_text={text}"]
+            return [f"BROKEN gateway_id={gateway_id} body_text={text}"]
+
+    def handle_message(self, fields: Fields, entries: Iterable[Fields]) -> Iterable[str]:
+        """Handles one message of a batch and returns the lines that answer it.
+
+        Args:
+            fields: the message.
+            entries: the lines that follow it, from which TOPOLOGY takes its entries.
 
-    def line(self, f: Fields, entries: Iterable[Fields]) -> Iterable[str]:
-        """Act on one message inside a batch."""
+        Raises:
+            WireError: the message or one of its entries violates the protocol.
+        """
         if self.now is None:
-            raise WireError(f"{f.message}: comes before SYNC")
-        number = f.int("gateway_id")
-        if f.message == "POWER_OFF":
-            self.gateways.pop(number, None)
+            raise WireError(f"{fields.message}: received before SYNC")
+        gateway_id = fields.integer("gateway_id")
+        if fields.message == "POWER_OFF":
+            self.gateways.pop(gateway_id, None)
             return []
-        if f.message == "BEGIN":
+        if fields.message == "BEGIN":
             try:
-                settings = read_settings(json.loads(f.text("options")))
+                settings = read_settings(json.loads(fields.text("options")))
             except ValueError as error:
                 raise WireError(f"BEGIN: field options: {error}") from None
-            self.gateways[number] = Gateway(settings, f.int("seed"), self.now)
+            self.gateways[gateway_id] = Gateway(settings, fields.integer("seed"), self.now)
             return []
-        if f.message == "TOPOLOGY":
-            kind, count = f.choice("how", LISTS), f.int("items", 0)
+        if fields.message == "TOPOLOGY":
+            kind, count = fields.choice("how", LIST_KINDS), fields.integer("items", 0)
             servers = tuple(read_server(next(entries)) for _ in range(count))
-            return self.step(number, self.now, api.ServerList(kind, f.int("index", 0), servers))
-        event = read_event(f)
-        return [] if event is None else self.step(number, self.now, event)
+            return self.dispatch(
+                gateway_id, self.now, api.ServerList(kind, fields.integer("index", 0), servers)
+            )
+        event = read_event(fields)
+        return [] if event is None else self.dispatch(gateway_id, self.now, event)
 
 
 def serve(source: Iterable[str], sink: TextIO) -> None:
-    """Answer batches until the input ends; WireError and ValueError name the line."""
-    adapter, reply, number = Adapter(), [], 0
+    """Answers batches until the input ends.
+
+    Raises:
+        WireError: a line violates the protocol; the message names the line number.
+    """
+    adapter, reply, line_number = Adapter(), [], 0
 
-    def lines() -> Iterable[Fields]:
-        nonlocal number
+    def read_lines() -> Iterable[Fields]:
+        nonlocal line_number
         for text in source:
-            number += 1
+            line_number += 1
             if text := text.rstrip("\r\n"):
                 yield Fields(text)
         if adapter.now is not None:
-            raise WireError("end of input: inside a batch")
+            raise WireError("end of input inside a batch")
 
-    stream = lines()
+    stream = read_lines()
     try:
-        for f in stream:
-            if f.message == "SYNC":
-                adapter.now, reply = f.number("t_s"), []
-            elif f.message == "FLUSH":
+        for fields in stream:
+            if fields.message == "SYNC":
+                adapter.now, reply = fields.number("t_s"), []
+            elif fields.message == "FLUSH":
                 adapter.now = None
                 sink.write("\n".join([*reply, "FINISHED\n"]))
                 sink.flush()
             else:
-                reply.extend(adapter.line(f, stream))
-    except RuntimeError:  # next() inside a generator expression ran out
-        raise WireError(f"line {number}: TOPOLOGY: field items counts more entries than came") from None
+                reply.extend(adapter.handle_message(fields, stream))
+    except RuntimeError:  # next() inside a generator expression reached the end of the input
+        raise WireError(
+            f"line {line_number}: TOPOLOGY: field items counts more entries than follow"
+        ) from None
     except (WireError, ValueError) as error:
-        raise WireError(f"line {number}: {error}") from None
+        raise WireError(f"line {line_number}: {error}") from None
 
 
 def main() -> int:
-    """Run on standard input and output."""
+    """Serves standard input and output; returns the process exit code."""
     try:
         serve(sys.stdin, sys.stdout)
     except WireError as error:
--- a/thymehinge/decisions.py
+++ b/thymehinge/decisions.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass
 
 from thymehinge import interface as api
-from thymehinge.interface import Repeat, Result, Scope, State
+from thymehinge.interface import DedupScope, Idempotency, LifecycleState, Result
 
 DEMAND_MEMORY = 3.0  # s; smooths single requests, follows a shift of traffic
 FORGET = 4e-4  # units/s of demand left after some twenty quiet seconds: a full bucket that idle is not kept
@@ -114,13 +114,13 @@
     """
 
     def __init__(self, plan: api.Plan, request: api.Request, settings: api.Settings, now: float) -> None:
-        self.key, self.plan, self.at, gateways = request.customer, plan, now, settings.gateways
+        self.key, self.plan, self.at, gateways = request.customer_id, plan, now, settings.gateway_count
         self.spread = max(1, min(request.spread, gateways))
         turns = [zlib.crc32(b"%d.%d" % (self.key, i)) % self.spread for i in range(HOMES)]
-        homed = settings.peers and self.spread > 1 and settings.meter_period <= 0
+        homed = settings.peers_enabled and self.spread > 1 and settings.meter_period <= 0
         self.homes = [(request.first_gateway + t) % gateways for t in turns] if homed else []
         self.part = 1 / self.spread
-        lag = SETTLE_LAG if settings.settles else MOVE_LAG
+        lag = SETTLE_LAG if settings.postpaid else MOVE_LAG
         self.most = plan.burst - min(plan.burst / 4, plan.rate * lag)
         self.level, self.extra = self.most * self.part, 0.0
         self.ceiling = 0.0  # a fresh instance takes its part of the ceiling as spent by its earlier life
@@ -128,7 +128,7 @@
         self.granted, self.answered_at, self.fill = 1.0, now, 1.0  # share of asks granted, the home's store
         self.known = math.inf  # the home's store at a refusal, in seconds of the rate, less that time
         self.open = 0
-        self.slots = Slots(plan.max_open)
+        self.slots = Slots(plan.max_in_flight)
 
     def refill(self, now: float) -> None:
         dt, self.at, p = max(0.0, now - self.at), max(self.at, now), self.plan
@@ -136,12 +136,12 @@
         self.level = min(self.most, self.level + p.rate * self.part * dt)
         over = p.rate * (self.throttle - 1)
         self.extra = min(over, self.extra + over * self.part * dt)
-        self.ceiling = min(p.ceiling_burst / self.spread, self.ceiling + p.ceiling_rate / self.spread * dt)
+        self.ceiling = min(p.cap_burst / self.spread, self.ceiling + p.cap_rate / self.spread * dt)
 
     def idle(self) -> bool:
         """Whether forgetting it changes nothing: it would be made anew as full as it is."""
         p, full = self.plan, self.level >= self.most * self.part
-        under = p.ceiling_rate <= 0 or self.ceiling >= p.ceiling_burst / self.spread
+        under = p.cap_rate <= 0 or self.ceiling >= p.cap_burst / self.spread
         out = self.open or any(end > self.at for end in self.slots.leased.values())
         return full and under and not out and self.demand < FORGET
 
@@ -173,7 +173,7 @@
     def ceiling_wait(self, units: float) -> float:
         """Seconds until our part of the ceiling covers these units."""
         p = self.plan
-        return (units - self.ceiling) * self.spread / p.ceiling_rate if p.ceiling_rate > 0 else 0.0
+        return (units - self.ceiling) * self.spread / p.cap_rate if p.cap_rate > 0 else 0.0
 
 
 class Backend:
@@ -205,7 +205,7 @@
         self.backends: dict[str, Backend] = {}
         self.departed: dict[str, tuple[float, Backend]] = {}  # whom a whole list lacked, kept until
         self.familiar: dict[str, Backend] = {}  # of a large fleet who answered last, the latest at the end
-        self.aim = min(c.aim for c in settings.classes)
+        self.aim = min(c.latency_target for c in settings.classes)
         self.usual = self.aim / 6
         self.limit, self.out, self.scale, self.slow_share = LIMIT_FEW, 0.0, 1.0, 0.0
         self.worths: deque[float] = deque(maxlen=RANKED)
@@ -214,21 +214,21 @@
 
     def update(self, now: float, event: api.ServerList) -> None:
         fresh = not self.backends
-        if event.kind in (api.ListKind.FULL, api.ListKind.STORED):
-            listed = {s.server for s in event.servers}
-            until = now + max(DEPARTED_LIFE, self.settings.fall_time)
+        if event.kind in (api.ListKind.SNAPSHOT, api.ListKind.CACHED):
+            listed = {s.name for s in event.servers}
+            until = now + max(DEPARTED_LIFE, self.settings.overload_window)
             for name in [n for n in self.backends if n not in listed]:
                 self.departed[name] = until, self.backends.pop(name)
             self.forget(now)
         for entry in event.servers:
-            until, known = self.departed.pop(entry.server, (now, None))
-            if known and until > now and known.entry.started == entry.started:
-                self.backends[entry.server] = known  # the last list was at fault: no new start, no new budget
-            old = self.backends.get(entry.server)
-            if entry.state is State.GONE:
-                self.backends.pop(entry.server, None)
-            elif old is None or entry.started > old.entry.started:
-                self.backends[entry.server] = Backend(entry, now)
+            until, known = self.departed.pop(entry.name, (now, None))
+            if known and until > now and known.entry.started_at == entry.started_at:
+                self.backends[entry.name] = known  # the last list was at fault: no new start, no new budget
+            old = self.backends.get(entry.name)
+            if entry.state is LifecycleState.GONE:
+                self.backends.pop(entry.name, None)
+            elif old is None or entry.started_at > old.entry.started_at:
+                self.backends[entry.name] = Backend(entry, now)
             else:
                 old.entry = entry
         met = min(len(self.backends), LARGE_FLEET)
@@ -236,10 +236,12 @@
         self.familiar = {
             name: b
             for name, b in self.familiar.items()
-            if self.backends.get(name) is b and b.entry.state is State.RUNNING
+            if self.backends.get(name) is b and b.entry.state is LifecycleState.RUNNING
         }
         if fresh:
-            self.limit = max(LIMIT_FEW, len(self.backends) * min(1.0, LIMIT_FEW / self.settings.gateways))
+            self.limit = max(
+                LIMIT_FEW, len(self.backends) * min(1.0, LIMIT_FEW / self.settings.gateway_count)
+            )
 
     def forget(self, now: float) -> None:
         """Drop the departed whose time is over, and the earliest where they are too many."""
@@ -248,10 +250,14 @@
 
     def warmth(self, b: Backend, now: float) -> float:
         """The part of its capacity that a server surely has by now."""
-        s, started = self.settings, b.entry.started
-        if started <= 0 or s.cold_time <= 0 or now - started >= s.cold_time:
+        s, started = self.settings, b.entry.started_at
+        if started <= 0 or s.slow_start_duration <= 0 or now - started >= s.slow_start_duration:
             return 1.0
-        return max(s.cold_share + (1 - s.cold_share) * max(0.0, now - started) / s.cold_time, 0.01)
+        return max(
+            s.slow_start_capacity
+            + (1 - s.slow_start_capacity) * max(0.0, now - started) / s.slow_start_duration,
+            0.01,
+        )
 
     def expected(self, b: Backend, now: float, work: float) -> float:
         """Seconds until this server would answer; an attempt long out counts like the wait it shows."""
@@ -267,18 +273,18 @@
     def cold_budget(self, warmth: float) -> float:
         """The work that a cold server may get from us in the time of its rule, by what warm ones get."""
         s = self.settings
-        return COLD_SAFETY * s.fall_multiple * warmth * s.fall_time * self.warm_rate
+        return COLD_SAFETY * s.overload_multiple * warmth * s.overload_window * self.warm_rate
 
     def cold_room(self, b: Backend, now: float, work: float, warmth: float) -> bool:
         """Guards a server that just came up by its budget; by a turn where that is under one request."""
         s = self.settings
-        while b.sent and b.sent[0][0] <= now - s.fall_time:
+        while b.sent and b.sent[0][0] <= now - s.overload_window:
             b.sent.popleft()
         budget = self.cold_budget(warmth)
         spent = sum(w for _, w in b.sent)
         if spent or b.pending or budget >= work:
             return spent + work <= budget
-        turn = zlib.crc32(b"%s %d %d" % (b.entry.server.encode(), now // s.fall_time, s.gateway))
+        turn = zlib.crc32(b"%s %d %d" % (b.entry.name.encode(), now // s.overload_window, s.gateway_index))
         return turn < budget / work * 2**32
 
     def sample(self, usable: list[Backend]) -> list[Backend]:
@@ -295,7 +301,7 @@
 
     def note_answer(self, b: Backend, good: bool) -> None:
         """Keep to a server of a large fleet that has answered, and no longer to one that has not."""
-        name = b.entry.server
+        name = b.entry.name
         self.familiar.pop(name, None)
         if good and len(self.backends) > LARGE_FLEET and self.backends.get(name) is b:
             self.familiar[name] = b
@@ -304,7 +310,7 @@
 
     def begin_by(self, b: Backend, now: float) -> float:
         """When a send must have begun: what two windows of a cold server's rule decide may share one."""
-        return now + self.settings.fall_time if self.warmth(b, now) < 1 else math.inf
+        return now + self.settings.overload_window if self.warmth(b, now) < 1 else math.inf
 
     def pick(self, now: float, work: float, aim: float, usable: list[Backend]) -> Backend | None:
         """The least expected delay among servers that would answer in time, failures priced in.
@@ -320,7 +326,9 @@
         for b in self.sample(usable):
             warmth = self.warmth(b, now)
             cold = warmth < 1
-            if b.entry.state is not State.RUNNING or (cold and not self.cold_room(b, now, work, warmth)):
+            if b.entry.state is not LifecycleState.RUNNING or (
+                cold and not self.cold_room(b, now, work, warmth)
+            ):
                 continue
             wait = self.expected(b, now, work)
             turn = cold and self.cold_budget(warmth) < work
@@ -348,11 +356,11 @@
         work, overtaken = attempt.work, attempt.sent <= self.lost_before(b)
         self.release(attempt)
         b.tried_at = now
-        if result not in (Result.CANCELLED, Result.MOOT, Result.FULL):
+        if result not in (Result.CANCELLED, Result.NOT_SENT, Result.REJECTED):
             self.note_answer(b, result is Result.OK)
         if result.never_ran and self.warmth(b, attempt.sent) >= 1:
             self.warm_sent -= work  # what a server has rejected shows nothing of what it bears
-        if result in (Result.OK, Result.ERROR, Result.FULL):
+        if result in (Result.OK, Result.ERROR, Result.REJECTED):
             b.newest = max(b.newest, attempt.sent)
             for lost in [a for a in b.pending.values() if a.sent <= self.lost_before(b)]:
                 self.release(lost)
@@ -375,8 +383,8 @@
             old = b.unit or self.usual
             if result is Result.OK or sample > old:
                 b.unit = old + SMOOTH * (min(sample, 4 * old) - old)
-        if result not in (Result.CANCELLED, Result.MOOT):
-            bad = {Result.OK: 0.0, Result.FULL: 0.5}.get(result, 1.0)
+        if result not in (Result.CANCELLED, Result.NOT_SENT):
+            bad = {Result.OK: 0.0, Result.REJECTED: 0.5}.get(result, 1.0)
             b.fail = b.failing(now, self.scale) + SMOOTH * (bad - b.fail)
         well = b.fail < LATE_SHARE and self.warmth(b, now) >= 1 and b.unit < 3 * self.usual
         return result is Result.OK and well
@@ -430,12 +438,12 @@
     """A class's back-end latency, hold time kept apart, against its aim."""
 
     def __init__(self, spec: api.RequestClass) -> None:
-        self.spec, self.latency, self.units = spec, spec.aim / 6, 0.0
+        self.spec, self.latency, self.units = spec, spec.latency_target / 6, 0.0
         self.seen = self.answers = self.late = self.shed = 0
 
     def add(self, latency: float) -> None:
         self.seen, self.answers = self.seen + 1, self.answers + 1
-        self.late += latency > self.spec.aim
+        self.late += latency > self.spec.latency_target
         self.latency += max(SMOOTH / 4, 1 / (self.seen + 1)) * (latency - self.latency)
 
     def second(self) -> bool:
@@ -466,7 +474,7 @@
     def __init__(self, req: api.Request, cls: ClassState, customer: Customer, now: float, order: int) -> None:
         self.req, self.cls, self.customer, self.order = req, cls, customer, order
         self.units = max(0.0, req.units)
-        self.aim_at, self.deadline = now + cls.spec.aim, now + max(0.0, req.time_left)
+        self.aim_at, self.deadline = now + cls.spec.latency_target, now + max(0.0, req.time_left)
         self.attempts: list[Attempt] = []
         self.place, self.worth = "", 0.0  # "asked" of a home, "held" there, "granted", "ready", "" sent
         self.asks, self.home, self.tag = 0, -1, order & 0xFFFF
@@ -483,15 +491,17 @@
     def may_refuse(self) -> bool:
         """Whether telling the client that a retry is harmless is true."""
         spec = self.cls.spec
-        harmless = spec.repeat is Repeat.SAFE or (spec.repeat is Repeat.KEYED and spec.scope is Scope.ALL)
+        harmless = spec.idempotency is Idempotency.SAFE or (
+            spec.idempotency is Idempotency.KEYED and spec.dedup_scope is DedupScope.ALL
+        )
         return harmless or not self.ran
 
     def begin_by(self) -> float:
         """When a further attempt must have begun: the end of a repeat window, with what may hold us up."""
         spec, sent = self.cls.spec, [a.sent for a in self.attempts if a.ran]
-        if not sent or spec.repeat is not Repeat.KEYED:
+        if not sent or spec.idempotency is not Idempotency.KEYED:
             return math.inf
-        return min(sent) + min(WINDOW_PART * spec.window, spec.window - HELD_UP)
+        return min(sent) + min(WINDOW_PART * spec.dedup_window, spec.dedup_window - HELD_UP)
 
     def usable(self, fleet: Fleet, now: float) -> list[Backend]:
         """The servers that may get an attempt, by the class's rule on repeats."""
@@ -499,17 +509,17 @@
         if not self.attempts:
             return servers
         spec, ran = self.cls.spec, [a for a in self.attempts if a.ran]
-        tried = [a.backend.entry.server for a in self.attempts]
-        if ran and spec.repeat is Repeat.UNSAFE:
+        tried = [a.backend.entry.name for a in self.attempts]
+        if ran and spec.idempotency is Idempotency.UNSAFE:
             return []
-        if ran and spec.repeat is Repeat.KEYED:
+        if ran and spec.idempotency is Idempotency.KEYED:
             if now > self.begin_by():
                 return []
-            if spec.scope is Scope.ZONE:
+            if spec.dedup_scope is DedupScope.ZONE:
                 servers = [b for b in servers if all(b.entry.zone == a.zone for a in ran)]
-            elif spec.scope is Scope.CELL:
+            elif spec.dedup_scope is DedupScope.CELL:
                 servers = [b for b in servers if all(b.entry.cell == a.cell for a in ran)]
-        return [b for b in servers if b.entry.server not in tried] or servers
+        return [b for b in servers if b.entry.name not in tried] or servers
 
 
 Entry = tuple[int, int, int, int, float, float, float]  # kind, tag, customer, plan, units, wait, fill
@@ -570,14 +580,14 @@
         self.mute, self.missed = {}, {}  # homes passed over, until when; asks in a row they left unanswered
         self.next_second = now + 1.0
         self.outbox: dict[int, list[bytes]] = {}
-        self.wake(now + BEAT * (settings.gateway + 1) / settings.gateways, "beat")
+        self.wake(now + BEAT * (settings.gateway_index + 1) / settings.gateway_count, "beat")
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         """Take in one event."""
         self.actions = []
-        if self.settings.subscribe and not self.watching:
+        if self.settings.watch_required and not self.watching:
             self.watching = True
-            self.actions.append(api.Watch())
+            self.actions.append(api.WatchServers())
         match event:
             case api.Request():
                 self.on_request(now, event)
@@ -590,14 +600,14 @@
                 if event.kind is api.ListKind.FAILED:
                     self.wake(now + 1.0, "watch")
                 self.serve_ready(now)
-            case api.StreamStarted() if event.request in self.jobs:
-                self.jobs[event.request].streaming = True
-            case api.ClientGone() if event.request in self.jobs:
-                self.close(now, self.jobs[event.request])
+            case api.StreamStarted() if event.request_id in self.jobs:
+                self.jobs[event.request_id].streaming = True
+            case api.ClientGone() if event.request_id in self.jobs:
+                self.close(now, self.jobs[event.request_id])
             case api.PeerMessage():
                 self.on_note(now, event)
-            case api.Probed() if event.server in self.fleet.backends:
-                self.fleet.report(self.fleet.backends[event.server], now, event.report)
+            case api.ProbeResult() if event.server in self.fleet.backends:
+                self.fleet.report(self.fleet.backends[event.server], now, event.load_report)
         self.run_due(now)
         return self.actions
 
@@ -642,36 +652,45 @@
     # Requests: the bucket, the hold queue, the guard.
 
     def on_request(self, now: float, req: api.Request) -> None:
-        if req.request in self.jobs:
+        if req.request_id in self.jobs:
             return
-        cls, self.order = self.classes.get(req.cls) or next(iter(self.classes.values())), self.order + 1
+        cls, self.order = (
+            self.classes.get(req.class_name) or next(iter(self.classes.values())),
+            self.order + 1,
+        )
         customer = self.customer(now, req)
-        job = self.jobs[req.request] = Job(req, cls, customer, now, self.order)
+        job = self.jobs[req.request_id] = Job(req, cls, customer, now, self.order)
         cls.units += (SMOOTH / 4 if cls.units else 1.0) * (job.units - cls.units)
-        self.wake(max(now, job.deadline - 2 * self.settings.tick), "deadline", job.req.request)
-        self.wake(now + self.ask_time(job), "unanswered", job.req.request)  # first, where both come at once
-        self.wake(now + DECIDE_PART * max(0.0, req.time_left), "decide", job.req.request)
-        job.worth = cls.spec.worth * customer.plan.price**0.5 * job.units / max(self.work(job), 1e-6)
+        self.wake(max(now, job.deadline - 2 * self.settings.tick), "deadline", job.req.request_id)
+        self.wake(
+            now + self.ask_time(job), "unanswered", job.req.request_id
+        )  # first, where both come at once
+        self.wake(now + DECIDE_PART * max(0.0, req.time_left), "decide", job.req.request_id)
+        job.worth = cls.spec.value * customer.plan.value_factor**0.5 * job.units / max(self.work(job), 1e-6)
         if not self.fleet.passes(job.worth):
             cls.shed += 1
-            return self.finish(now, job, refuse=True, advice=self.settings.max_retry_advice)
+            return self.finish(now, job, refuse=True, advice=self.settings.max_retry_after)
         customer.refill(now)
         customer.demand += job.units / DEMAND_MEMORY
         self.ask(now, job)
 
     def customer(self, now: float, req: api.Request) -> Customer:
-        c = self.customers.get(req.customer)
-        if c is None or c.plan.name != req.plan:
-            plan = self.settings.plans[self.plans[req.plan]] if req.plan in self.plans else api.Plan(req.plan)
-            c = self.customers[req.customer] = Customer(plan, req, self.settings, now)
-            c.ceiling = plan.ceiling_rate / c.spread * (now - self.born)
+        c = self.customers.get(req.customer_id)
+        if c is None or c.plan.name != req.plan_name:
+            plan = (
+                self.settings.plans[self.plans[req.plan_name]]
+                if req.plan_name in self.plans
+                else api.Plan(req.plan_name)
+            )
+            c = self.customers[req.customer_id] = Customer(plan, req, self.settings, now)
+            c.ceiling = plan.cap_rate / c.spread * (now - self.born)
         return c
 
     def hold_budget(self, job: Job) -> float:
         """How long a request may wait for tokens and be served in time; low worth and marked retries less."""
-        spec, dearest = job.cls.spec, max(c.spec.worth for c in self.classes.values())
-        part = spec.worth / max(dearest, 1e-9) * (RETRY_PART if job.req.is_retry else 1.0)
-        most = min(HOLD_PART * spec.aim, DECIDE_PART * job.req.time_left)
+        spec, dearest = job.cls.spec, max(c.spec.value for c in self.classes.values())
+        part = spec.value / max(dearest, 1e-9) * (RETRY_PART if job.req.is_retry else 1.0)
+        most = min(HOLD_PART * spec.latency_target, DECIDE_PART * job.req.time_left)
         return max(0.0, most - SERVE_MARGIN * job.cls.latency) * part
 
     def work(self, job: Job) -> float:
@@ -684,7 +703,7 @@
     def make_ready(self, now: float, job: Job) -> None:
         job.place = "ready"
         heapq.heappush(self.ready, (-job.worth, job.order, job))
-        self.wake(min(job.aim_at, job.deadline) - job.cls.latency, "limit", job.req.request)
+        self.wake(min(job.aim_at, job.deadline) - job.cls.latency, "limit", job.req.request_id)
 
     def serve_ready(self, now: float) -> None:
         """Send what waits for a server, the most worth for its work first."""
@@ -712,7 +731,7 @@
         if job.asks > (ASK_TRIES if c.share(now) > 0.5 else 2):
             return self.unanswered(now, job)
         job.home = next((h for h in c.homes if now >= self.mute.get(h, now)), c.homes[0])
-        if job.home == self.settings.gateway:
+        if job.home == self.settings.gateway_index:
             bucket = self.bucket(now, c.key, c.plan, c.fill)
             kind, wait = self.grant(now, job.home, job.tag, bucket, job.units, budget)
             if kind != Notes.HELD:
@@ -722,7 +741,7 @@
         self.asks[job.tag] = job
         self.post(now, job.home, Notes.ASK, job.tag, c, job.units, budget)
         patience = min(ASK_WAIT, DECIDE_PART * job.req.time_left / (ASK_TRIES + 1))
-        self.wake(now + patience + 2 * (self.next_tell - now), "asked", job.req.request)
+        self.wake(now + patience + 2 * (self.next_tell - now), "asked", job.req.request_id)
 
     def ask_time(self, job: Job) -> float:
         """Seconds that a request may spend on its asks.
@@ -732,7 +751,13 @@
         spec, most = job.cls.spec, DECIDE_PART * max(0.0, job.req.time_left)
         if self.answered_share >= ANSWERED_USUAL:
             return most
-        return min(most, max(HOLD_PART * spec.aim - SERVE_MARGIN * job.cls.latency, ASK_PART * spec.aim))
+        return min(
+            most,
+            max(
+                HOLD_PART * spec.latency_target - SERVE_MARGIN * job.cls.latency,
+                ASK_PART * spec.latency_target,
+            ),
+        )
 
     def unanswered(self, now: float, job: Job) -> None:
         """No answer of the home in time: what it last told decides, else our slice of the quota."""
@@ -753,7 +778,7 @@
 
     def in_slice(self, now: float, c: Customer, units: float) -> bool:
         """Whether our even part of the quota covers a request by itself; draws it from there."""
-        if c.plan.max_open > 0 and c.open + self.rng.random() >= c.plan.max_open * c.part:
+        if c.plan.max_in_flight > 0 and c.open + self.rng.random() >= c.plan.max_in_flight * c.part:
             return False
         return c.grant(now, units, 0.0)[0] == Notes.GRANT
 
@@ -769,7 +794,9 @@
     def tell(self, now: float, peer: int) -> None:
         waiting = self.outbox.pop(peer, [])
         for i in range(0, len(waiting), Notes.MOST):
-            self.actions.append(api.Tell(Notes.write(self.fleet.limit, waiting[i : i + Notes.MOST]), peer))
+            self.actions.append(
+                api.SendToPeer(Notes.write(self.fleet.limit, waiting[i : i + Notes.MOST]), peer)
+            )
 
     def bucket(self, now: float, key: int, plan: api.Plan, fill: float) -> Customer:
         """The whole bucket of a customer whose home we are, at first as full as the asker last heard."""
@@ -785,11 +812,11 @@
     ) -> tuple[int, float]:
         """Draw from a bucket of ours, and lease a slot where the plan bounds what is out at once."""
         plan, slots, who, lease = c.plan, c.slots, (sender, tag), LEASE * self.fleet.usual * max(1.0, units)
-        line = slots.wait(now, self.fleet.usual) if plan.max_open > 0 else 0.0
+        line = slots.wait(now, self.fleet.usual) if plan.max_in_flight > 0 else 0.0
         if line > patience:
             return Notes.REFUSE, line
         kind, wait = c.grant(now, units, patience)
-        if plan.max_open <= 0 or kind == Notes.REFUSE:
+        if plan.max_in_flight <= 0 or kind == Notes.REFUSE:
             return kind, wait
         if line > 0:
             slots.line[who] = now + patience, lease
@@ -800,13 +827,13 @@
     def hold(self, now: float, job: Job) -> None:
         """In line for a slot, until there is no time left to use one."""
         job.place = "held"
-        self.wake(now + self.hold_budget(job), "held", job.req.request)
+        self.wake(now + self.hold_budget(job), "held", job.req.request_id)
 
     def release(self, now: float, c: Customer, who: tuple[int, int]) -> None:
         """A slot comes back to its home, or one who waited gives up: the next in line gets it."""
         c.slots.give_back(who)
         for sender, tag in c.slots.next(now):
-            if sender != self.settings.gateway:
+            if sender != self.settings.gateway_index:
                 self.given[sender, tag] = (Notes.GRANT, 0.0, c, now + ANSWER_LIFE)
                 self.post(now, sender, Notes.GRANT, tag, c, 0.0, 0.0)
             elif (job := self.asks.get(tag)) is not None and job.place == "held":
@@ -818,14 +845,18 @@
             return self.finish(now, job, refuse=True, advice=wait)
         job.place, job.inside = "granted", kind == Notes.GRANT
         if wait > 0:
-            return self.wake(now + wait, "granted", job.req.request)
-        job.worth *= 1.0 if job.inside else job.customer.plan.over_worth
+            return self.wake(now + wait, "granted", job.req.request_id)
+        job.worth *= 1.0 if job.inside else job.customer.plan.overage_value
         if not self.send(now, job):
             self.make_ready(now, job)
 
     def on_note(self, now: float, event: api.PeerMessage) -> None:
         note = Notes.read(event.body)
-        if note and event.sender != self.settings.gateway and 0 <= event.sender < self.settings.gateways:
+        if (
+            note
+            and event.sender != self.settings.gateway_index
+            and 0 <= event.sender < self.settings.gateway_count
+        ):
             self.missed.pop(event.sender, None)
             mine, theirs = min(self.fleet.limit, LIMIT_FEW), note[0]
             if min(mine, theirs) < LIMIT_FEW:  # so low that chance decides: the fleet finds one bound
@@ -851,7 +882,7 @@
                 c.settle(units)
             if kind == Notes.RETURN:
                 self.release(now, c, (sender, tag))
-            elif c.plan.max_open > 0:
+            elif c.plan.max_in_flight > 0:
                 c.slots.take(now, (sender, tag), LEASE * self.fleet.usual * max(1.0, units))
         elif kind == Notes.HELD and (job := self.asks.get(tag)) is not None and job.place == "asked":
             self.hold(now, job)
@@ -872,11 +903,11 @@
         c = job.customer
         if not c.homes:
             c.settle(units)
-        elif job.home == self.settings.gateway and c.key in self.buckets:
+        elif job.home == self.settings.gateway_index and c.key in self.buckets:
             self.buckets[c.key].settle(units)
             if job.done:
                 self.release(now, self.buckets[c.key], (job.home, job.tag))
-        elif abs(units) >= 0.5 or (job.done and c.plan.max_open > 0):
+        elif abs(units) >= 0.5 or (job.done and c.plan.max_in_flight > 0):
             self.post(now, job.home, Notes.RETURN, job.tag, c, units, 0.0)
 
     # Attempts.
@@ -885,26 +916,30 @@
         spec, work, customer, first = job.cls.spec, self.work(job), job.customer, not job.attempts
         if first:  # both limits hold at the send itself: what waited for a server must not leave in one burst
             customer.refill(now)
-            most = customer.plan.max_open
+            most = customer.plan.max_in_flight
             full = most > 0 and not customer.homes and customer.open >= max(1, round(most * customer.part))
             if full or customer.ceiling_wait(job.units) > 0:
                 return False
-        b = self.fleet.pick(now, work, spec.aim, job.usable(self.fleet, now))
+        b = self.fleet.pick(now, work, spec.latency_target, job.usable(self.fleet, now))
         if b is None:
             return False
         customer.ceiling -= job.units * first
         customer.open += first
-        ref, load = (job.req.request, len(job.attempts)), b.load(now) + work
+        ref, load = (job.req.request_id, len(job.attempts)), b.load(now) + work
         begin_by = min(job.begin_by(), self.fleet.begin_by(b, now))
-        attempt = Attempt(b, ref, now, work, load, spec.aim, b.entry.zone, b.entry.cell)
+        attempt = Attempt(b, ref, now, work, load, spec.latency_target, b.entry.zone, b.entry.cell)
         self.fleet.send(b, now, attempt)
         job.attempts.append(attempt)
         job.place = ""
         if first:
             self.retries = min(RETRY_MOST, self.retries + RETRY_EARN)
-        if self.settings.second_copies and not copy and spec.repeat is not Repeat.UNSAFE:
-            self.wake(now + max(PATIENCE * job.cls.latency, PATIENCE_AIM * spec.aim), "copy", job.req.request)
-        self.actions.append(api.Send(job.req.request, b.entry.server, job.deadline, begin_by))
+        if self.settings.hedging_enabled and not copy and spec.idempotency is not Idempotency.UNSAFE:
+            self.wake(
+                now + max(PATIENCE * job.cls.latency, PATIENCE_AIM * spec.latency_target),
+                "copy",
+                job.req.request_id,
+            )
+        self.actions.append(api.Send(job.req.request_id, b.entry.name, job.deadline, begin_by))
         return True
 
     def copy(self, now: float, job: Job) -> None:
@@ -913,17 +948,17 @@
         self.retries -= few and now < job.aim_at and self.send(now, job, copy=True)
 
     def on_outcome(self, now: float, o: api.Outcome) -> None:
-        job = self.jobs.get(o.request)
+        job = self.jobs.get(o.request_id)
         if job is None or not 0 <= o.attempt < len(job.attempts) or not job.attempts[o.attempt].out:
             return
         attempt = job.attempts[o.attempt]
         attempt.out, attempt.ran = False, not o.result.never_ran
         telling = self.fleet.finish(attempt.backend, now, attempt, o.result, o.elapsed)
-        self.fleet.report(attempt.backend, now, o.report)
+        self.fleet.report(attempt.backend, now, o.load_report)
         if telling:
             job.cls.add(now - job.attempts[0].sent)
-        if o.result is Result.OK and job.inside and self.settings.settles and o.units > 0:
-            self.settle(now, job, o.units - job.units)
+        if o.result is Result.OK and job.inside and self.settings.postpaid and o.billed_units > 0:
+            self.settle(now, job, o.billed_units - job.units)
         if o.fleet_use > 0:
             self.on_meter(now, job.customer, o.fleet_use)
         if not job.done and (o.final or o.result is Result.OK):
@@ -931,7 +966,7 @@
         elif not job.done and not job.out:
             self.again(now, job, o.result)
         elif not job.out:
-            self.jobs.pop(o.request, None)
+            self.jobs.pop(o.request_id, None)
         self.serve_ready(now)
 
     def again(self, now: float, job: Job, result: Result) -> None:
@@ -947,10 +982,10 @@
     def finish(self, now: float, job: Job, refuse: bool, advice: float = 0.0) -> None:
         """The final answer: a refusal where one is true, else a failure."""
         if refuse and job.may_refuse():
-            after = min(advice, self.settings.max_retry_advice) if self.settings.retry_advice else 0.0
-            self.actions.append(api.Refuse(job.req.request, after))
+            after = min(advice, self.settings.max_retry_after) if self.settings.retry_after_enabled else 0.0
+            self.actions.append(api.Refuse(job.req.request_id, after))
         else:
-            self.actions.append(api.Fail(job.req.request))
+            self.actions.append(api.Fail(job.req.request_id))
         self.close(now, job)
 
     def close(self, now: float, job: Job) -> None:
@@ -960,15 +995,15 @@
         job.done = True
         if job.place in ("ready", "granted") and not job.attempts and job.inside:
             self.settle(now, job, -job.units)
-        elif job.home >= 0 and job.customer.plan.max_open > 0:
+        elif job.home >= 0 and job.customer.plan.max_in_flight > 0:
             self.settle(now, job, 0.0)
         job.customer.open -= bool(job.attempts)
         job.place = ""
         self.asks.pop(job.tag, None)
-        if self.settings.cancel and not job.streaming:
-            self.actions.extend(api.Cancel(job.req.request, a.ref[1]) for a in job.attempts if a.out)
+        if self.settings.cancel_enabled and not job.streaming:
+            self.actions.extend(api.Cancel(job.req.request_id, a.ref[1]) for a in job.attempts if a.out)
         if not job.out:
-            self.jobs.pop(job.req.request, None)
+            self.jobs.pop(job.req.request_id, None)
 
     # Once a beat and once a second.
 
@@ -997,7 +1032,7 @@
             c.refill(now)
             if missed:
                 c.throttle = max(1.0, c.throttle * THROTTLE_CUT)
-            elif c.plan.over_worth > c.plan.over_cost:
+            elif c.plan.overage_value > c.plan.overage_cost:
                 c.throttle = min(THROTTLE_MOST, c.throttle + THROTTLE_STEP)
         self.unasked = {tag: until for tag, until in self.unasked.items() if until > now}
         self.given = {who: given for who, given in self.given.items() if given[3] > now}
--- a/thymehinge/emulator/customers.py
+++ b/thymehinge/emulator/customers.py
@@ -44,7 +44,7 @@
 def plans() -> tuple[api.Plan, ...]:
     """Plans from the smallest quota up, each with twice the rate of the one before."""
     rates = [QUOTA_LEAST * 2**i for i in range(PLANS)]
-    return tuple(api.Plan(f"rate{r:g}", r, max(BURST_LEAST, BURST * r), over_cost=1.0) for r in rates)
+    return tuple(api.Plan(f"rate{r:g}", r, max(BURST_LEAST, BURST * r), overage_cost=1.0) for r in rates)
 
 
 class Customers:
--- a/thymehinge/emulator/discovery.py
+++ b/thymehinge/emulator/discovery.py
@@ -7,7 +7,7 @@
 
 from thymehinge import interface as api
 from thymehinge.emulator.clock import Clock
-from thymehinge.interface import ListKind, State
+from thymehinge.interface import LifecycleState, ListKind
 
 TOLD = 0.05, 0.5  # s from a change until a gateway hears of it: an agent's pull and its way
 NOTICE = 1.0  # s until discovery sees that a server is lost
@@ -105,15 +105,15 @@
         if name in self.busy:
             return False
         self.busy.add(name)
-        self.change(replace(self.listed[name], state=State.DRAINING))
-        self.publish(name, State.DRAINING)
+        self.change(replace(self.listed[name], state=LifecycleState.DRAINING))
+        self.publish(name, LifecycleState.DRAINING)
         self.clock.after(DRAIN, self.stop, name)
         return True
 
     def stop(self, name: str) -> None:
         entry = self.listed[name]
-        self.change(replace(entry, state=State.GONE))
-        self.publish(name, State.GONE)
+        self.change(replace(entry, state=LifecycleState.GONE))
+        self.publish(name, LifecycleState.GONE)
         self.clock.after(BOOT, self.start, entry)
 
     def lose(self, names: Iterable[str]) -> None:
@@ -121,23 +121,23 @@
         for name in names:
             if name not in self.busy:
                 self.busy.add(name)
-                self.change(replace(self.listed[name], state=State.GONE))
-                self.clock.after(NOTICE, self.publish, name, State.GONE)
+                self.change(replace(self.listed[name], state=LifecycleState.GONE))
+                self.clock.after(NOTICE, self.publish, name, LifecycleState.GONE)
                 self.clock.after(REPAIR, self.start, self.listed[name])
 
     def start(self, entry: api.Server) -> None:
-        fresh = replace(entry, state=State.RUNNING, started=self.clock.now)
-        self.busy.discard(entry.server)
+        fresh = replace(entry, state=LifecycleState.RUNNING, started_at=self.clock.now)
+        self.busy.discard(entry.name)
         self.change(fresh)
-        self.listed[entry.server] = fresh
-        self.publish(entry.server, State.RUNNING)
+        self.listed[entry.name] = fresh
+        self.publish(entry.name, LifecycleState.RUNNING)
 
     # What gateways are told.
 
-    def publish(self, name: str, state: State) -> None:
+    def publish(self, name: str, state: LifecycleState) -> None:
         """Note a change, and tell every gateway that has a list."""
         entry = replace(self.listed[name], state=state)
-        if state is State.GONE:
+        if state is LifecycleState.GONE:
             del self.listed[name]
         else:
             self.listed[name] = entry
@@ -155,12 +155,12 @@
         """Tell the last of each server's changes since the version that the gateway has."""
         self.under_way[gateway], seen = False, self.seen[gateway]
         if seen is not None and seen < len(self.log):
-            changed = {entry.server: entry for entry in self.log[seen:]}
-            self.send(gateway, ListKind.CHANGES, tuple(changed.values()))
+            changed = {entry.name: entry for entry in self.log[seen:]}
+            self.send(gateway, ListKind.DELTA, tuple(changed.values()))
 
     def send_list(self, gateway: int) -> None:
         """Tell the whole list now, as to a gateway that has just started."""
-        self.send(gateway, ListKind.FULL, tuple(self.listed.values()))
+        self.send(gateway, ListKind.SNAPSHOT, tuple(self.listed.values()))
 
     def send(self, gateway: int, kind: ListKind, entries: tuple[api.Server, ...]) -> None:
         self.seen[gateway] = len(self.log)
--- a/thymehinge/emulator/entries.py
+++ b/thymehinge/emulator/entries.py
@@ -46,15 +46,25 @@
 CUSTOMERS = 200  # that requests and asks come from, in turn
 NOW = 1_000.0  # s on the measuring's own clock at its start
 CLASSES = (
-    api.RequestClass("table-view", aim=0.3, deadline=1.0),
-    api.RequestClass("move", 0.5, 1.0, worth=3.0, repeat=api.Repeat.KEYED, scope=api.Scope.ZONE, window=2.0),
-    api.RequestClass("dice-shuffle", 0.8, 1.0, worth=2.0, repeat=api.Repeat.UNSAFE),
+    api.RequestClass("table-view", latency_target=0.3, timeout=1.0),
+    api.RequestClass(
+        "move",
+        0.5,
+        1.0,
+        value=3.0,
+        idempotency=api.Idempotency.KEYED,
+        dedup_scope=api.DedupScope.ZONE,
+        dedup_window=2.0,
+    ),
+    api.RequestClass("dice-shuffle", 0.8, 1.0, value=2.0, idempotency=api.Idempotency.UNSAFE),
 )
-PLAN = api.Plan("club", rate=100.0, burst=400.0, over_worth=0.3)  # so wide that no request waits for tokens
-ALONE = api.Settings(CLASSES, (PLAN,), cold_share=0.2, cold_time=10.0)
+PLAN = api.Plan(
+    "club", rate=100.0, burst=400.0, overage_value=0.3
+)  # so wide that no request waits for tokens
+ALONE = api.Settings(CLASSES, (PLAN,), slow_start_capacity=0.2, slow_start_duration=10.0)
 FREE = api.Settings(CLASSES, (api.Plan("club"),))  # without quotas
 HOME = api.Settings(  # what a peer takes in does not bound it: each answer goes out by itself
-    CLASSES, (PLAN,), gateways=GATEWAYS, peers=True, peer_messages_per_s=1e6
+    CLASSES, (PLAN,), gateway_count=GATEWAYS, peers_enabled=True, peer_messages_per_s=1e6
 )
 
 Grow = Callable[[int, int], object]  # adds the entries from one number up to another
@@ -125,7 +135,7 @@
     rng, gateway = random.Random(seed), Gateway(ALONE, seed, NOW)
 
     def grow(first: int, last: int) -> None:
-        gateway.handle(NOW, api.ServerList(ListKind.CHANGES, 1, host_list(last - first, rng, first).servers))
+        gateway.handle(NOW, api.ServerList(ListKind.DELTA, 1, host_list(last - first, rng, first).servers))
 
     return bytes_each(grow, few)
 
@@ -138,7 +148,7 @@
     def grow(first: int, last: int) -> None:
         hosts = host_list(last - first, rng, first)
         servers.add(hosts.servers, hosts.dials)
-        gateway.handle(NOW, api.ServerList(ListKind.CHANGES, 1, hosts.servers))  # owns the names, as always
+        gateway.handle(NOW, api.ServerList(ListKind.DELTA, 1, hosts.servers))  # owns the names, as always
 
     return bytes_each(grow, few) - server_bytes(few, seed)
 
@@ -148,8 +158,8 @@
     rng, gateway = random.Random(seed), Gateway(ALONE, seed, NOW)
 
     def grow(first: int, last: int) -> None:
-        gateway.handle(NOW, api.ServerList(ListKind.FULL, 1, host_list(last - first, rng, first).servers))
-        gateway.handle(NOW, api.ServerList(ListKind.FULL, 2))
+        gateway.handle(NOW, api.ServerList(ListKind.SNAPSHOT, 1, host_list(last - first, rng, first).servers))
+        gateway.handle(NOW, api.ServerList(ListKind.SNAPSHOT, 2))
 
     return bytes_each(grow, few)
 
@@ -237,13 +247,13 @@
         self.now, self.number, self.timer = NOW, 0, (math.inf, 0)
         self.gateway = Gateway(ALONE, seed, NOW)
         self.gateway.next_second = math.inf
-        self.give(api.ServerList(ListKind.FULL, 1, hosts.servers))
+        self.give(api.ServerList(ListKind.SNAPSHOT, 1, hosts.servers))
 
     def give(self, event: api.Event) -> list[api.Action]:
         actions = self.gateway.handle(self.now, event)
         for action in actions:
             if isinstance(action, api.SetTimer):
-                self.timer = action.at, action.tag
+                self.timer = action.due_at, action.tag
         return actions
 
     def request(self, customer: int | None = None, answer: float = ANSWER) -> None:
@@ -256,7 +266,9 @@
         self.now += answer
         if self.timer[0] <= self.now:
             self.give(api.TimerDue(self.timer[1]))
-        self.give(api.Outcome(self.number, 0, server, api.Result.OK, answer, True, report={"queue": 1.0}))
+        self.give(
+            api.Outcome(self.number, 0, server, api.Result.OK, answer, True, load_report={"queue": 1.0})
+        )
 
     def settle(self) -> None:
         """Let time pass until nothing waits but the beat, and the second's work is done once."""
@@ -295,7 +307,7 @@
 def with_servers(hosts: HostList, seed: int) -> Gateway:
     """A gateway with these servers, each of which has answered."""
     gateway, rng = Gateway(ALONE, seed, NOW), random.Random(seed)
-    gateway.handle(NOW, api.ServerList(ListKind.FULL, 1, hosts.servers))
+    gateway.handle(NOW, api.ServerList(ListKind.SNAPSHOT, 1, hosts.servers))
     for backend in gateway.fleet.backends.values():
         backend.unit = rng.uniform(0.01, 0.02)
     return gateway
@@ -319,7 +331,7 @@
         hosts, gateway = read_list(raw), Gateway(ALONE, seed, NOW)
         whole, change = (
             api.ServerList(kind, 2, servers)
-            for kind, servers in ((ListKind.FULL, hosts.servers), (ListKind.CHANGES, hosts.servers[:1]))
+            for kind, servers in ((ListKind.SNAPSHOT, hosts.servers), (ListKind.DELTA, hosts.servers[:1]))
         )
         gateway.handle(NOW, whole)
         often = MANY // size  # as long for few entries as for many
--- a/thymehinge/emulator/fleet.py
+++ b/thymehinge/emulator/fleet.py
@@ -13,15 +13,22 @@
 from thymehinge.emulator.discovery import Discovery, Layout, Rates
 from thymehinge.emulator.network import LOSS, Network, Traffic
 from thymehinge.emulator.servers import Attempt, Kind, TableServer
-from thymehinge.interface import Repeat, Result, State
+from thymehinge.interface import Idempotency, LifecycleState, Result
 
 INTAKE = 60.0  # datagrams/s that a gateway takes in
 WIRE = 0.001  # s one way between a gateway and a table server
 WORK, WORK_SHAPE = 0.02, 2.0  # s of a core for a mean request, and the shape of its gamma distribution
 LOAD = 0.5  # of the table servers' capacity, where their number follows the traffic
 CLASSES = (
-    api.RequestClass("table-view", aim=0.3, deadline=1.0, repeat=Repeat.SAFE),
-    api.RequestClass("move-submit", aim=0.5, deadline=1.5, worth=2.0, repeat=Repeat.KEYED, window=5.0),
+    api.RequestClass("table-view", latency_target=0.3, timeout=1.0, idempotency=Idempotency.SAFE),
+    api.RequestClass(
+        "move-submit",
+        latency_target=0.5,
+        timeout=1.5,
+        value=2.0,
+        idempotency=Idempotency.KEYED,
+        dedup_window=5.0,
+    ),
 )
 VIEWS = 0.7  # of the requests are of the first class
 ANSWERS = Notes.GRANT, Notes.LEND, Notes.REFUSE, Notes.HELD
@@ -83,12 +90,12 @@
             i,
             s.gateways,
             zone,
-            peers=s.peers,
+            peers_enabled=s.peers,
             peer_messages_per_s=s.intake,
-            cold_share=k.cold_share,
-            cold_time=k.cold_time,
-            fall_multiple=2.0,
-            fall_time=2.0,
+            slow_start_capacity=k.cold_share,
+            slow_start_duration=k.cold_time,
+            overload_multiple=2.0,
+            overload_window=2.0,
         )
 
     def gateway(self, i: int) -> Gateway:
@@ -132,10 +139,10 @@
         self.attempts[gateway][self.serial] = []
         plan, spread, first = customers.plans[who].name, customers.spread[who], customers.first[who]
         request = api.Request(
-            self.serial, cls.deadline, cls.name, plan, who, spread=spread, first_gateway=first
+            self.serial, cls.timeout, cls.name, plan, who, spread=spread, first_gateway=first
         )
         self.give(gateway, self.lives[gateway], request)
-        self.clock.after(cls.deadline + 1.0, self.forget, gateway, self.serial)
+        self.clock.after(cls.timeout + 1.0, self.forget, gateway, self.serial)
 
     def forget(self, gateway: int, request: int) -> None:
         """Long over by now, whatever became of it."""
@@ -151,24 +158,24 @@
             match action:
                 case api.SetTimer():
                     due = api.TimerDue(action.tag)
-                    self.clock.after(action.at - self.clock.now, self.give, i, life, due)
+                    self.clock.after(action.due_at - self.clock.now, self.give, i, life, due)
                 case api.Send():
                     self.send(i, life, action)
-                case api.Tell():
+                case api.SendToPeer():
                     self.tell(i, action)
                 case api.Cancel():
-                    self.end(self.attempts[i][action.request][action.attempt], Result.CANCELLED)
+                    self.end(self.attempts[i][action.request_id][action.attempt], Result.CANCELLED)
 
     def send(self, i: int, life: int, action: api.Send) -> None:
         """An attempt goes out; the first of a request uses units of its customer."""
-        tries, request, now = self.attempts[i][action.request], action.request, self.clock.now
+        tries, request, now = self.attempts[i][action.request_id], action.request_id, self.clock.now
         attempt = Attempt(i, life, request, len(tries), action.server, self.work[request], now)
         tries.append(attempt)
         if (who := self.owner.pop(request, None)) is not None:
             self.customers.meters[who].use(now, 1.0)
         self.met[i].add(action.server)
         self.clock.after(WIRE, self.servers[action.server].reach, attempt)
-        self.clock.after(action.until - now, self.end, attempt, Result.TIMEOUT)
+        self.clock.after(action.deadline - now, self.end, attempt, Result.TIMEOUT)
 
     def answer(self, attempt: Attempt, result: Result) -> None:
         """A table server's answer, with a report on its load."""
@@ -181,13 +188,13 @@
         attempt.over, final = True, result in (Result.OK, Result.CANCELLED)
         elapsed = self.clock.now - attempt.sent
         outcome = api.Outcome(
-            attempt.request, attempt.number, attempt.server, result, elapsed, final, report=report or {}
+            attempt.request, attempt.number, attempt.server, result, elapsed, final, load_report=report or {}
         )
         self.clock.after(0.0, self.give, attempt.gateway, attempt.life, outcome)
 
     # Peers and discovery.
 
-    def tell(self, i: int, action: api.Tell) -> None:
+    def tell(self, i: int, action: api.SendToPeer) -> None:
         note = Notes.read(action.body)
         everyone = [j for j in range(len(self.gateways)) if j != i]
         for to in everyone if action.peer is None else [action.peer]:
@@ -204,7 +211,7 @@
 
     def change(self, entry: api.Server) -> None:
         """A table server starts, drains or stops."""
-        if entry.state is State.RUNNING:
-            self.servers[entry.server] = TableServer(self.clock, entry, self.kind, self.answer)
+        if entry.state is LifecycleState.RUNNING:
+            self.servers[entry.name] = TableServer(self.clock, entry, self.kind, self.answer)
         else:
-            self.servers[entry.server].state = entry.state
+            self.servers[entry.name].state = entry.state
--- a/thymehinge/emulator/servers.py
+++ b/thymehinge/emulator/servers.py
@@ -8,7 +8,7 @@
 
 from thymehinge import interface as api
 from thymehinge.emulator.clock import Clock
-from thymehinge.interface import Result, State
+from thymehinge.interface import LifecycleState, Result
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,14 +46,14 @@
         self, clock: Clock, entry: api.Server, kind: Kind, answer: Callable[[Attempt, Result], None]
     ) -> None:
         self.clock, self.entry, self.kind, self.answer = clock, entry, kind, answer
-        self.state, self.busy = State.RUNNING, 0
+        self.state, self.busy = LifecycleState.RUNNING, 0
         self.queue: deque[Attempt] = deque()
         self.gateways: set[int] = set()  # whose attempts came
 
     def warmth(self) -> float:
         """The part of its speed that it has by now."""
-        k, age = self.kind, self.clock.now - self.entry.started
-        if self.entry.started <= 0 or age >= k.cold_time:
+        k, age = self.kind, self.clock.now - self.entry.started_at
+        if self.entry.started_at <= 0 or age >= k.cold_time:
             return 1.0
         return k.cold_share + (1 - k.cold_share) * age / k.cold_time
 
@@ -63,12 +63,12 @@
 
     def reach(self, attempt: Attempt) -> None:
         """An attempt comes in: a lost server is silent, a draining or full one turns it away."""
-        if self.state is State.GONE:
+        if self.state is LifecycleState.GONE:
             return
         self.gateways.add(attempt.gateway)
         full = self.busy >= self.kind.cores and len(self.queue) >= self.kind.room
-        if full or self.state is State.DRAINING:
-            self.answer(attempt, Result.FULL)
+        if full or self.state is LifecycleState.DRAINING:
+            self.answer(attempt, Result.REJECTED)
         elif self.busy < self.kind.cores:
             self.serve(attempt)
         else:
@@ -79,7 +79,7 @@
         self.clock.after(attempt.work / self.warmth(), self.served, attempt)
 
     def served(self, attempt: Attempt) -> None:
-        if self.state is State.GONE:
+        if self.state is LifecycleState.GONE:
             return
         self.busy -= 1
         while self.queue and self.busy < self.kind.cores:
--- a/thymehinge/net/clients.py
+++ b/thymehinge/net/clients.py
@@ -52,7 +52,7 @@
         self.open_connections, self.accept_paused, self.draining = 0, False, False
         self.tasks: set[asyncio.Task[None]] = set()
         self.connections: set[ClientConnection] = set()
-        self.longest_timeout = settings.longest_deadline
+        self.longest_timeout = settings.longest_timeout
         self.awaiting_first_request: dict[ClientConnection, None] = {}
         self.idle: dict[ClientConnection, None] = {}  # between requests
         self.mid_command: dict[ClientConnection, float] = {}  # time of the latest data of a partial command
--- a/thymehinge/net/config.py
+++ b/thymehinge/net/config.py
@@ -10,7 +10,7 @@
 
 from thymehinge import interface as api
 from thymehinge.net.discovery import HostList, read_list
-from thymehinge.settings import read_settings, setting
+from thymehinge.settings import get_setting, read_settings
 
 Address = tuple[str, int]
 MEMORY_MB = 192.0  # MiB where the configuration names no limit: the most on the operators' days
@@ -87,26 +87,26 @@
         raise ValueError("not an object")
     optional = {name: raw[name] for name in ("peer_listen", "peers_all") if raw.get(name)}
     known = raw.get("known")
-    seed = setting(raw, "seed", str, "0")
-    sockets = setting(raw, "limits.sockets", int, 1024)
+    seed = get_setting(raw, "seed", str, "0")
+    sockets = get_setting(raw, "limits.sockets", int, 1024)
     if sockets < 64:
         raise ValueError(f"limits.sockets: {sockets} are too few to serve with")
     try:
         start = int(seed, 16)
     except ValueError:
         raise ValueError(f"seed: not a hexadecimal number {seed!r}") from None
-    discovery = environ.get("EDGE_DISCOVERY") or setting(raw, "discovery", str)
+    discovery = environ.get("EDGE_DISCOVERY") or get_setting(raw, "discovery", str)
     address(discovery, "discovery")
-    settings = setting(raw, "settings", dict)
+    settings = get_setting(raw, "settings", dict)
     return Config(
-        name=environ.get("EDGE_NAME") or setting(raw, "name", str, ""),
+        name=environ.get("EDGE_NAME") or get_setting(raw, "name", str, ""),
         listen=address(environ.get("EDGE_LISTEN") or raw.get("listen"), "listen"),
         discovery=discovery,
         seed=start,
         sockets=sockets,
         memory=int(positive(raw, "limits.memory_mb", MEMORY_MB) * 2**20),
         peer_listen=address(optional["peer_listen"], "peer_listen") if "peer_listen" in optional else None,
-        peers=tuple(address(p, "peers") for p in setting(raw, "peers", list, [])),
+        peers=tuple(address(p, "peers") for p in get_setting(raw, "peers", list, [])),
         peers_all=address(optional["peers_all"], "peers_all") if "peers_all" in optional else None,
         known=None if known is None else read_list(known),
         idle_timeout=positive(settings, "bounds.conn_idle_s", 15.0),
@@ -117,7 +117,7 @@
 
 def positive(raw: dict[str, Any], path: str, default: float) -> float:
     """A time of the settings that must be above 0."""
-    value = setting(raw, path, float, default)
+    value = get_setting(raw, path, float, default)
     if not 0 < value < float("inf"):
         raise ValueError(f"setting {path}: nonsensical value {value!r}")
     return value
--- a/thymehinge/net/discovery.py
+++ b/thymehinge/net/discovery.py
@@ -20,7 +20,11 @@
 log = logging.getLogger(__name__)
 
 AWAY = OSError  # no answer, TimeoutError among them: calls cost it nothing
-STATES = {"Ready": api.State.RUNNING, "Terminating": api.State.DRAINING, "Gone": api.State.GONE}
+STATES = {
+    "Ready": api.LifecycleState.RUNNING,
+    "Terminating": api.LifecycleState.DRAINING,
+    "Gone": api.LifecycleState.GONE,
+}
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,7 +54,7 @@
             continue
         servers.append(server)
         if dial is not None:
-            dials[server.server] = dial
+            dials[server.name] = dial
     return HostList(version, bool(raw.get("whole")), tuple(servers), dials, tuple(bad))
 
 
@@ -62,7 +66,7 @@
         dial = (host, int(port)) if host else None
         if dial is not None and not 0 < dial[1] < 65536:
             raise ValueError("no port")
-        if dial is None and state is not api.State.GONE:
+        if dial is None and state is not api.LifecycleState.GONE:
             raise ValueError("no dial")
         weight, born = float(entry.get("share") or 0.0), float(entry.get("born_ms") or 0)
         if not (math.isfinite(weight) and math.isfinite(born)):
--- a/thymehinge/net/driver.py
+++ b/thymehinge/net/driver.py
@@ -57,8 +57,8 @@
         self.clients = Clients(
             config.settings, spare - most, self.on_request, self.on_left, self.ready, clock
         )
-        self.start_times = StartTimes(config.settings.cold_time, clock)
-        self.peers = Peers(config.peers, config.peers_all, config.settings.gateway, self.on_peer)
+        self.start_times = StartTimes(config.settings.slow_start_duration, clock)
+        self.peers = Peers(config.peers, config.peers_all, config.settings.gateway_index, self.on_peer)
         self.exchanges: dict[int, Exchange] = {}
         self.events: deque[api.Event] = deque()
         self.due: list[tuple[float, int, Due]] = []
@@ -68,7 +68,7 @@
         self.listening = math.inf  # since when everything listens, and discovery is called
         self.end = math.inf  # when this process has to be done with all that it has taken
         if config.known is not None:
-            self.on_list(config.known, api.ListKind.STORED)
+            self.on_list(config.known, api.ListKind.CACHED)
         self.at(clock() + SWEEP, self.sweep)
 
     def ready(self) -> bool:
@@ -129,19 +129,19 @@
                 result,
                 elapsed,
                 exchange.done,
-                report=report,
+                load_report=report,
             )
         )
 
     def on_list(self, hosts: HostList, kind: api.ListKind | None = None) -> None:
         """Discovery's list or changes. The module hears first: sends that waited then go elsewhere."""
         if kind is None:
-            kind = api.ListKind.FULL if hosts.whole else api.ListKind.CHANGES
+            kind = api.ListKind.SNAPSHOT if hosts.whole else api.ListKind.DELTA
         servers = self.start_times.resolve(hosts.servers, kind)
-        self.listed = self.listed or bool(servers) or kind is api.ListKind.FULL
+        self.listed = self.listed or bool(servers) or kind is api.ListKind.SNAPSHOT
         self.servers.add(servers, hosts.dials)
         self.give(api.ServerList(kind, hosts.version, servers))
-        self.servers.remove(servers, kind is not api.ListKind.CHANGES)
+        self.servers.remove(servers, kind is not api.ListKind.DELTA)
 
     def on_peer(self, sender: int, body: bytes) -> None:
         self.give(api.PeerMessage(sender, body))
@@ -177,12 +177,12 @@
                 log.exception("defect while doing %s", type(action).__name__)
                 self.spoiled(action)
         if isinstance(event, (api.Outcome, api.ClientGone)):
-            self.settle(self.exchanges.get(event.request))
+            self.settle(self.exchanges.get(event.request_id))
         return None
 
     def spoiled(self, cause: api.Event | api.Action) -> None:
         """Answer the request that a defect hit, unless the module was only told of its end."""
-        exchange = self.exchanges.get(getattr(cause, "request", 0))
+        exchange = self.exchanges.get(getattr(cause, "request_id", 0))
         if exchange is not None and not isinstance(cause, api.ClientGone):
             self.abandon(exchange, FAILED_REPLY)
 
@@ -194,26 +194,26 @@
             case api.Send():
                 self.send(action)
             case api.SetTimer():
-                self.at(action.at, lambda: self.give(api.TimerDue(action.tag)))
+                self.at(action.due_at, lambda: self.give(api.TimerDue(action.tag)))
             case api.Refuse():
                 self.refuse(action)
             case api.Fail():
-                self.answer(self.exchanges.get(action.request), FAILED_REPLY)
+                self.answer(self.exchanges.get(action.request_id), FAILED_REPLY)
             case api.Cancel():
-                exchange = self.exchanges.get(action.request)
+                exchange = self.exchanges.get(action.request_id)
                 if exchange is not None:
                     self.servers.give_up(exchange.attempts[action.attempt], Result.CANCELLED)
-            case api.Tell():
+            case api.SendToPeer():
                 self.peers.tell(action.body, action.peer)
             case api.Log():
                 log.info("%s", action.text)
-            case api.Watch() | api.Fetch():
+            case api.WatchServers() | api.FetchServers():
                 pass  # the list is always watched, and asked for whole after any failure
             case _:
                 raise TypeError(f"unknown action {action!r}")
 
     def send(self, action: api.Send) -> None:
-        exchange, until, begin_by = self.exchanges[action.request], action.until, action.begin_by
+        exchange, until, begin_by = self.exchanges[action.request_id], action.deadline, action.start_deadline
         attempt = Attempt(
             exchange,
             len(exchange.attempts),
@@ -230,8 +230,8 @@
         self.servers.start(attempt)
 
     def refuse(self, action: api.Refuse) -> None:
-        wait = math.ceil(action.after * 1000)
-        self.answer(self.exchanges.get(action.request), b"-BUSY %d\r\n" % wait if wait > 0 else BUSY_REPLY)
+        wait = math.ceil(action.retry_after * 1000)
+        self.answer(self.exchanges.get(action.request_id), b"-BUSY %d\r\n" % wait if wait > 0 else BUSY_REPLY)
 
     def answer(self, exchange: Exchange | None, reply: bytes) -> None:
         if exchange is not None:
--- a/thymehinge/net/exchange.py
+++ b/thymehinge/net/exchange.py
@@ -7,7 +7,7 @@
 
 import hiredis
 
-from thymehinge.interface import Repeat, Settings
+from thymehinge.interface import Idempotency, Settings
 
 if TYPE_CHECKING:
     from thymehinge.net.client_connection import ClientConnection
@@ -33,14 +33,14 @@
         self.classes = {
             c.name.encode(): (
                 c.name,
-                READ_COMMAND if c.repeat is Repeat.SAFE else WRITE_COMMAND,
-                c.repeat is Repeat.KEYED,
+                READ_COMMAND if c.idempotency is Idempotency.SAFE else WRITE_COMMAND,
+                c.idempotency is Idempotency.KEYED,
             )
             for c in settings.classes
         }
         self.plans = {p.name.encode(): p.name for p in settings.plans}
-        self.max_units, self.gateway_count = settings.max_units, settings.gateways
-        self.max_timeout = max(MIN_TIMEOUT_LIMIT, TIMEOUT_LIMIT_FACTOR * settings.longest_deadline)
+        self.max_units, self.gateway_count = settings.max_units, settings.gateway_count
+        self.max_timeout = max(MIN_TIMEOUT_LIMIT, TIMEOUT_LIMIT_FACTOR * settings.longest_timeout)
 
 
 FIELD_NAMES = frozenset((b"c", b"t", b"d", b"k", b"r", b"units", b"spread", b"first"))
--- a/thymehinge/net/server_connection.py
+++ b/thymehinge/net/server_connection.py
@@ -174,7 +174,7 @@
     word, _, report = (text or b"").rpartition(b" ")
     word, report = (word, read_report(report)) if word else (report, NO_REPORT)
     refused = word == b"BUSY" and alone and (report is not NO_REPORT or text == word)
-    return Result.FULL if refused else Result.ERROR, report
+    return Result.REJECTED if refused else Result.ERROR, report
 
 
 def read_report(text: bytes | None) -> dict[str, float]:
--- a/thymehinge/net/servers.py
+++ b/thymehinge/net/servers.py
@@ -10,7 +10,7 @@
 from collections import deque
 from collections.abc import Callable
 
-from thymehinge.interface import Result, Server, State
+from thymehinge.interface import LifecycleState, Result, Server
 from thymehinge.net.config import Address
 from thymehinge.net.server_connection import NO_REPORT, Attempt, Connection
 
@@ -57,7 +57,7 @@
         while self.connecting < len(self.waiting) and self.running:
             if not self.owner.room(self):
                 if self.count + self.connecting == 0:  # our own bound: the server is not to blame
-                    self.owner.finish(self.waiting.popleft(), Result.MOOT)
+                    self.owner.finish(self.waiting.popleft(), Result.NOT_SENT)
                     continue
                 return
             self.connecting += 1
@@ -101,7 +101,7 @@
             attempt = self.waiting.popleft()
             if attempt.until > now and attempt.begin_by >= now and not attempt.exchange.is_over():
                 return attempt
-            self.owner.finish(attempt, Result.MOOT)
+            self.owner.finish(attempt, Result.NOT_SENT)
         return None
 
     def serve(self) -> None:
@@ -130,7 +130,7 @@
         self.running = False
         self.drop_idle(math.inf)
         while self.waiting:
-            self.owner.finish(self.waiting.popleft(), Result.MOOT)
+            self.owner.finish(self.waiting.popleft(), Result.NOT_SENT)
 
 
 class Servers:
@@ -156,18 +156,18 @@
     def add(self, servers: tuple[Server, ...], dials: dict[str, Address]) -> None:
         """Take in what is in service, before the module hears of it."""
         for server in servers:
-            if server.state is State.RUNNING:
-                name = server.server
+            if server.state is LifecycleState.RUNNING:
+                name = server.name
                 pool = self.pools.get(name)
                 if pool is None:
-                    self.pools[name] = Pool(self, dials[name], server.started)
+                    self.pools[name] = Pool(self, dials[name], server.started_at)
                 else:
-                    pool.follow(dials[name], server.started)
+                    pool.follow(dials[name], server.started_at)
 
     def remove(self, servers: tuple[Server, ...], whole: bool) -> None:
         """Nothing new for what drains or is gone; once the module knows, so that it sends elsewhere."""
-        running = {s.server for s in servers if s.state is State.RUNNING}
-        told = {s.server for s in servers}
+        running = {s.name for s in servers if s.state is LifecycleState.RUNNING}
+        told = {s.name for s in servers}
         for name in [n for n in self.pools if n not in running and (whole or n in told)]:
             self.pools.pop(name).close()
 
@@ -175,7 +175,7 @@
         """Send an attempt, unless its request or its time is over or its server no longer in service."""
         pool = self.pools.get(attempt.server)
         if pool is None or attempt.exchange.is_over() or attempt.begin_by < self.clock():
-            return self.finish(attempt, Result.MOOT)
+            return self.finish(attempt, Result.NOT_SENT)
         return pool.start(attempt)
 
     def give_up(self, attempt: Attempt, result: Result) -> None:
@@ -188,7 +188,7 @@
         else:
             if attempt.pool is not None and attempt in attempt.pool.waiting:
                 attempt.pool.waiting.remove(attempt)
-            self.finish(attempt, Result.MOOT if result is Result.CANCELLED else Result.CONNECT_FAILED)
+            self.finish(attempt, Result.NOT_SENT if result is Result.CANCELLED else Result.CONNECT_FAILED)
 
     def give_up_waiting(self, attempt: Attempt) -> None:
         """An attempt that still waits for a connection may not begin any more."""
--- a/thymehinge/net/start_times.py
+++ b/thymehinge/net/start_times.py
@@ -12,7 +12,7 @@
 from dataclasses import replace
 from typing import NamedTuple
 
-from thymehinge.interface import ListKind, Server, State
+from thymehinge.interface import LifecycleState, ListKind, Server
 
 LISTING_LAG = 5.0  # s at most from a server's start until discovery lists it
 LAG_PART = 0.25  # of the warm-up that this lag may be taken for at most: more would overrate a cold server
@@ -44,25 +44,25 @@
     def resolve(self, servers: Sequence[Server], kind: ListKind) -> tuple[Server, ...]:
         """The servers of a list with their starts on our clock; 0, which is long ago, stays 0."""
         now, age_most = self.clock(), None
-        if kind is not ListKind.STORED:  # that one is from before our own start
+        if kind is not ListKind.CACHED:  # that one is from before our own start
             if self.told_at is not None:
                 age_most = now - self.told_at + self.lag
             self.told_at = now
-        if kind is not ListKind.CHANGES:
-            self.depart(self.listed.keys() - {server.server for server in servers})
+        if kind is not ListKind.DELTA:
+            self.depart(self.listed.keys() - {server.name for server in servers})
         resolved = tuple(self.resolve_one(server, now, age_most) for server in servers)
-        self.depart({server.server for server in servers if server.state is State.GONE})
+        self.depart({server.name for server in servers if server.state is LifecycleState.GONE})
         return resolved
 
     def resolve_one(self, server: Server, now: float, age_most: float | None) -> Server:
-        name, known = server.server, self.listed.get(server.server) or self.departed.pop(server.server, None)
-        if server.started <= 0:  # most servers of a large fleet: nothing is kept of them
+        name, known = server.name, self.listed.get(server.name) or self.departed.pop(server.name, None)
+        if server.started_at <= 0:  # most servers of a large fleet: nothing is kept of them
             self.listed.pop(name, None)
             return server
-        if known is None or known.told != server.started:
-            known = Start(server.started, now - self.age(server.started, age_most))
+        if known is None or known.told != server.started_at:
+            known = Start(server.started_at, now - self.age(server.started_at, age_most))
         self.listed[name] = known
-        return replace(server, started=known.local)
+        return replace(server, started_at=known.local)
 
     def age(self, started: float, age_most: float | None) -> float:
         """Seconds since a start that was not known: 0 where the wall clock can't be right.
