--- a/tests/fleetkit.py
+++ b/tests/fleetkit.py
@@ -71,7 +71,7 @@
         self.gateways = [Gateway(s, self.rng.getrandbits(32), self.now) for s in self.settings]
         self.attempts: list[dict[int, list[Attempt]]] = [{} for _ in weights]
         self.jobs: list[dict[int, float]] = [{} for _ in weights]  # requests in hand and their work
-        self.after(0.0, self.arrive)
+        self.call_later(0.0, self.arrive)
 
     # What a day does.
 
@@ -80,13 +80,13 @@
         entry = api.Server(name, started_at=self.now if cold else 0.0)
         self.servers[name] = TableServer(entry, cores, room)
         if other > 0:
-            self.after(0.0, self.foreign, self.servers[name], other * cores / self.work)
+            self.call_later(0.0, self.foreign, self.servers[name], other * cores / self.work)
 
     def tell(self, names: Sequence[str], spread: float = 0.0) -> None:
         """A whole list to all gateways, to each within the spread of seconds."""
         self.listed = tuple(self.servers[name].entry for name in names)
         for i in range(len(self.gateways)):
-            self.after(self.rng.uniform(0, spread), self.list_to, i, self.listed)
+            self.call_later(self.rng.uniform(0, spread), self.list_to, i, self.listed)
 
     def list_to(self, i: int, listed: tuple[api.Server, ...]) -> None:
         self.give(i, self.lives[i], api.ServerList(api.ListKind.SNAPSHOT, 1, listed))
@@ -94,7 +94,7 @@
     def restart(self, share: float, spread: float = 0.0) -> None:
         """A share of the gateways is killed and begins anew with the list."""
         for i in self.rng.sample(range(len(self.gateways)), round(share * len(self.gateways))):
-            self.after(self.rng.uniform(0, spread), self.begin, i)
+            self.call_later(self.rng.uniform(0, spread), self.begin, i)
 
     def begin(self, i: int) -> None:
         self.lives[i] += 1
@@ -105,7 +105,7 @@
     # Traffic and table servers.
 
     def arrive(self) -> None:
-        self.after(self.rng.expovariate(self.rate), self.arrive)
+        self.call_later(self.rng.expovariate(self.rate), self.arrive)
         i = self.rng.choices(range(len(self.sums)), cum_weights=self.sums)[0]
         cls = self.rng.choices(list(CLASSES), [share for share, _ in CLASSES.values()])[0]
         self.requests += 1
@@ -114,7 +114,7 @@
         self.give(i, self.lives[i], api.Request(self.requests, cls.timeout, cls.name, "open", customer))
 
     def foreign(self, server: TableServer, rate: float) -> None:
-        self.after(self.rng.expovariate(rate), self.foreign, server, rate)
+        self.call_later(self.rng.expovariate(rate), self.foreign, server, rate)
         self.reach(server, Attempt(-1, self.rng.gammavariate(SHAPE, 1 / SHAPE)))
 
     def give(self, i: int, life: int, event: api.Event) -> None:
@@ -123,7 +123,7 @@
         for action in self.gateways[i].handle(self.now, event):
             match action:
                 case api.SetTimer():
-                    self.after(
+                    self.call_later(
                         max(0.0, action.due_at - self.now), self.give, i, life, api.TimerDue(action.tag)
                     )
                 case api.Send():
@@ -132,8 +132,8 @@
                     a = Attempt(i, work, life, action.request_id, len(tries), action.server, self.now)
                     tries.append(a)
                     server.sent.append((self.now, work))
-                    self.after(WIRE, self.reach, server, a)
-                    self.after(action.deadline - self.now, self.end, a, Result.TIMEOUT)
+                    self.call_later(WIRE, self.reach, server, a)
+                    self.call_later(action.deadline - self.now, self.end, a, Result.TIMEOUT)
                 case api.Cancel():
                     self.end(self.attempts[i][action.request_id][action.attempt], Result.CANCELLED)
 
@@ -145,7 +145,7 @@
 
     def reach(self, server: TableServer, a: Attempt) -> None:
         if server.busy >= server.cores and len(server.queue) >= server.room:
-            return self.after(WIRE, self.end, a, Result.REJECTED)
+            return self.call_later(WIRE, self.end, a, Result.REJECTED)
         if a.gateway >= 0:
             server.taken.append((self.now, a.work))
         if server.busy < server.cores:
@@ -155,7 +155,7 @@
 
     def serve(self, server: TableServer, a: Attempt) -> None:
         server.busy += 1
-        self.after(a.work * self.work / self.warmth(server, self.now), self.served, server, a)
+        self.call_later(a.work * self.work / self.warmth(server, self.now), self.served, server, a)
 
     def served(self, server: TableServer, a: Attempt) -> None:
         server.busy -= 1
@@ -163,14 +163,14 @@
             following = server.queue.popleft()
             if not following.over:
                 self.serve(server, following)
-        self.after(WIRE, self.end, a, Result.OK)
+        self.call_later(WIRE, self.end, a, Result.OK)
 
     def end(self, a: Attempt, result: Result) -> None:
         if a.over or a.gateway < 0:
             return
         a.over, final = True, result in (Result.OK, Result.CANCELLED)
         outcome = api.Outcome(a.request, a.number, a.server, result, self.now - a.sent, final)
-        self.after(0.0, self.give, a.gateway, a.life, outcome)
+        self.call_later(0.0, self.give, a.gateway, a.life, outcome)
 
     # What a day showed.
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -1,4 +1,4 @@
-"""The emulator: its slopes against the ranges that a page states, and its command line."""
+"""Tests of the emulator's ranges of slopes and of its command line."""
 
 from __future__ import annotations
 
@@ -6,49 +6,49 @@
 from click.testing import CliRunner
 
 from thymehinge.emulator import __main__ as program
-from thymehinge.emulator.slopes import PageError, Slope, faults, stated
+from thymehinge.emulator.slopes import PageError, Slope, find_violations, read_ranges
 
-PAGE = "| slope | measured | range | what |\n| --- | --- | --- | --- |\n"
+PAGE_HEADER = "| slope | measured | range | what |\n| --- | --- | --- | --- |\n"
 
 
-def page(path, *rows: str):
-    path.write_text(PAGE + "\n".join(rows) + "\n")
+def write_page(path, *rows: str):
+    path.write_text(PAGE_HEADER + "\n".join(rows) + "\n")
     return path
 
 
 def test_a_page_states_ranges_by_name(tmp_path):
-    path = page(
+    path = write_page(
         tmp_path / "page.md", "| `a.b` | 1,234 | 1,200 to 1,300 | bytes |", "| `c.d` | 0.5 | 0 to 0.75 | x |"
     )
-    assert stated(path) == {"a.b": (1200.0, 1300.0), "c.d": (0.0, 0.75)}
+    assert read_ranges(path) == {"a.b": (1200.0, 1300.0), "c.d": (0.0, 0.75)}
 
 
 @pytest.mark.parametrize(
-    ("rows", "says"),
+    ("rows", "message"),
     [
         ([], "no row"),
         (["| `a` | 1 | 2 to 1 | x |"], "no range"),
         (["| `a` | 1 | 0 to 1 | x |", "| `a` | 1 | 0 to 2 | x |"], "two rows"),
     ],
 )
-def test_a_page_that_makes_no_sense_is_an_error(tmp_path, rows, says):
-    with pytest.raises(PageError, match=says):
-        stated(page(tmp_path / "page.md", *rows))
+def test_an_invalid_page_raises(tmp_path, rows, message):
+    with pytest.raises(PageError, match=message):
+        read_ranges(write_page(tmp_path / "page.md", *rows))
     with pytest.raises(PageError, match="No such file"):
-        stated(tmp_path / "missing.md")
+        read_ranges(tmp_path / "missing.md")
 
 
-def test_slopes_and_page_are_held_against_each_other_both_ways():
+def test_violations_cover_unstated_out_of_range_and_unmeasured_slopes():
     ranges = {"in": (1.0, 2.0), "over": (1.0, 2.0), "unmeasured": (1.0, 2.0)}
-    time = Slope("time.x", 9.0, "s", "", checked=False)
-    slopes = [Slope("in", 1.0, "x", ""), Slope("over", 2.1, "x", ""), Slope("new", 1.0, "x", ""), time]
-    found = faults(slopes, ranges)
-    assert [line.split(":")[0] for line in found] == ["new", "over", "unmeasured"]
+    unchecked = Slope("time.x", 9.0, "s", "", checked=False)
+    slopes = [Slope("in", 1.0, "x", ""), Slope("over", 2.1, "x", ""), Slope("new", 1.0, "x", ""), unchecked]
+    violations = find_violations(slopes, ranges)
+    assert [line.split(":")[0] for line in violations] == ["new", "over", "unmeasured"]
 
 
-@pytest.mark.parametrize(("value", "code"), [(1.0, 0), (3.0, 1)])
-def test_check_fails_where_a_slope_leaves_its_range(tmp_path, monkeypatch, value, code):
-    monkeypatch.setattr(program, "PARTS", {"one": lambda small, seed: iter([Slope("a", value, "x", "")])})
-    path = page(tmp_path / "page.md", "| `a` | 1 | 0.5 to 2 | x |")
+@pytest.mark.parametrize(("value", "exit_code"), [(1.0, 0), (3.0, 1)])
+def test_check_fails_if_a_slope_is_out_of_range(tmp_path, monkeypatch, value, exit_code):
+    monkeypatch.setattr(program, "SUITES", {"one": lambda small, seed: iter([Slope("a", value, "x", "")])})
+    path = write_page(tmp_path / "page.md", "| `a` | 1 | 0.5 to 2 | x |")
     result = CliRunner().invoke(program.main, ["check", "--page", str(path)])
-    assert result.exit_code == code and f"1 slopes, {code} faults" in result.output
+    assert result.exit_code == exit_code and f"1 slopes, {exit_code} faults" in result.output
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -1,4 +1,4 @@
-"""What entries cost: the bytes repeat, and a field more is seen. Nothing here asserts a speed."""
+"""Tests that the memory of entries is reproducible and shows added fields; no test asserts a speed."""
 
 from __future__ import annotations
 
@@ -10,30 +10,30 @@
 from thymehinge.emulator import entries
 from thymehinge.net import servers
 
-FEW = 64  # entries at the smaller size
-REPEATS = 8.0  # bytes an entry: a table or free list that an earlier run left in another state, shared by all
-MORE = 1_000  # bytes of a field that is not there today
+ENTRY_COUNT = 64  # at the smaller size
+REPEAT_TOLERANCE = 8.0  # bytes per entry: hash tables and free lists of the process differ between runs
+EXTRA_BYTES = 1_000  # size of a field that is added
 
-BYTES = {
+MEASUREMENTS = {
     "server": entries.server_bytes,
-    "pool": lambda few, seed: asyncio.run(entries.pool_bytes(few, seed)),
+    "pool": lambda count, seed: asyncio.run(entries.pool_bytes(count, seed)),
     "customer": entries.customer_bytes,
     "bucket": entries.bucket_bytes,
-    "given": entries.given_bytes,
-    "request": lambda few, seed: asyncio.run(entries.request_bytes(few, seed)),
-    "departed": entries.departed_bytes,
+    "given": entries.quota_answer_bytes,
+    "request": lambda count, seed: asyncio.run(entries.request_bytes(count, seed)),
+    "departed": entries.delisted_bytes,
 }
 
 
-@pytest.mark.parametrize("kind", BYTES)
+@pytest.mark.parametrize("kind", MEASUREMENTS)
 def test_bytes_repeat_for_a_seed(kind):
-    BYTES[kind](FEW, 1)  # the first run also fills what the process keeps for good
-    first, second = BYTES[kind](FEW, 1), BYTES[kind](FEW, 1)
-    assert first > 0 and abs(first - second) <= REPEATS
+    MEASUREMENTS[kind](ENTRY_COUNT, 1)  # warms up what the process caches
+    first, second = MEASUREMENTS[kind](ENTRY_COUNT, 1), MEASUREMENTS[kind](ENTRY_COUNT, 1)
+    assert first > 0 and abs(first - second) <= REPEAT_TOLERANCE
 
 
 @pytest.mark.parametrize(
-    ("part", "kinds"),
+    ("state_class", "kinds"),
     [
         (decisions.TrackedServer, ("server", "departed")),
         (decisions.SlotPool, ("customer", "bucket")),
@@ -41,39 +41,47 @@
         (servers.Pool, ("pool",)),
     ],
 )
-def test_a_field_more_is_seen(monkeypatch, part, kinds):
-    before, init = {kind: BYTES[kind](FEW, 1) for kind in kinds}, part.__init__
-
-    def wider(self, *given):
-        init(self, *given)
-        self.planted = bytearray(MORE)
-
-    monkeypatch.setattr(part, "__init__", wider)
-    assert all(BYTES[kind](FEW, 1) >= before[kind] + MORE for kind in kinds)
-
-
-def test_an_answer_that_is_never_forgotten_is_seen(monkeypatch):
-    """A leak that no entry owns: every ask leaves something behind."""
-    kept, before, ask = [], entries.given_bytes(FEW, 1), entries.Home.ask
-    monkeypatch.setattr(entries.Home, "ask", lambda home, wait: (ask(home, wait), kept.append(bytes(MORE))))
-    assert entries.given_bytes(FEW, 1) >= before + MORE
-
-
-def test_requests_that_are_not_sent_are_no_requests_in_hand(monkeypatch):
-    monkeypatch.setattr(decisions.Gateway, "send", lambda *given, **more: False)
+def test_an_added_field_is_detected(monkeypatch, state_class, kinds):
+    before, init = {kind: MEASUREMENTS[kind](ENTRY_COUNT, 1) for kind in kinds}, state_class.__init__
+
+    def init_with_extra_field(self, *args):
+        init(self, *args)
+        self.extra = bytearray(EXTRA_BYTES)
+
+    monkeypatch.setattr(state_class, "__init__", init_with_extra_field)
+    assert all(MEASUREMENTS[kind](ENTRY_COUNT, 1) >= before[kind] + EXTRA_BYTES for kind in kinds)
+
+
+def test_leaked_quota_answers_are_detected(monkeypatch):
+    """Guards against a leak that belongs to no entry: every quota request leaves something allocated."""
+    leaked, before, receive = (
+        [],
+        entries.quota_answer_bytes(ENTRY_COUNT, 1),
+        entries.QuotaOwner.receive_quota_request,
+    )
+    monkeypatch.setattr(
+        entries.QuotaOwner,
+        "receive_quota_request",
+        lambda owner, wait: (receive(owner, wait), leaked.append(bytes(EXTRA_BYTES))),
+    )
+    assert entries.quota_answer_bytes(ENTRY_COUNT, 1) >= before + EXTRA_BYTES
+
+
+def test_request_bytes_raises_if_requests_are_not_sent(monkeypatch):
+    monkeypatch.setattr(decisions.Gateway, "send", lambda *args, **kwargs: False)
     with pytest.raises(RuntimeError, match="0 of 256 requests were sent"):
-        BYTES["request"](FEW, 1)
+        MEASUREMENTS["request"](ENTRY_COUNT, 1)
 
 
 def test_all_slopes_are_measured(monkeypatch):
-    monkeypatch.setattr(entries, "SIZES", {True: FEW})
-    monkeypatch.setattr(entries, "ROUNDS", 1)
-    monkeypatch.setattr(entries, "MANY", 100)
-    found = {slope.name: slope for slope in entries.measure(True, 1)}
-    assert found["message.bytes.entry"].value == 14 and found["message.bytes.head"].value == 7
-    assert {name.rsplit(".", 1)[0] for name in found if found[name].checked} == {
+    monkeypatch.setattr(entries, "ENTRY_COUNTS", {True: ENTRY_COUNT})
+    monkeypatch.setattr(entries, "TIMING_ROUNDS", 1)
+    monkeypatch.setattr(entries, "MANY_ENTRIES", 100)
+    slopes = {slope.name: slope for slope in entries.measure(True, 1)}
+    assert slopes["message.bytes.entry"].value == 14 and slopes["message.bytes.head"].value == 7
+    assert {name.rsplit(".", 1)[0] for name in slopes if slopes[name].checked} == {
         "gateway.memory",
         "gateway.cpu",
         "message.bytes",
     }
-    assert len([slope for slope in found.values() if slope.checked]) == 16
+    assert len([slope for slope in slopes.values() if slope.checked]) == 16
--- a/thymehinge/emulator/__init__.py
+++ b/thymehinge/emulator/__init__.py
@@ -1,4 +1,6 @@
-"""Hollow fleets: the real decision module, and real gateways, among stand-ins, to measure what a fleet costs.
+"""Emulated fleets that measure what a fleet of gateways costs.
 
-`run` and `sim` never import this package. Its libraries are the extra `emulator` of pyproject.toml.
+Simulated (hollow) fleets run the real decision module on one clock; gateway processes run against a fake
+discovery service.
+`run` and `sim` never import this package. Its dependencies are the extra `emulator` of pyproject.toml.
 """
--- a/thymehinge/emulator/__main__.py
+++ b/thymehinge/emulator/__main__.py
@@ -1,4 +1,4 @@
-"""The command line: print every slope, or check them against the ranges that a page states."""
+"""Command line of the emulator: print the slopes, or check them against the ranges of a page."""
 
 from __future__ import annotations
 
@@ -9,56 +9,66 @@
 import click
 
 from thymehinge.emulator import entries, hollow, real
-from thymehinge.emulator.slopes import Measure, PageError, Slope, faults, stated
+from thymehinge.emulator.slopes import Measurement, PageError, Slope, find_violations, read_ranges
 
-PAGE = Path("docs/CAPACITY.md")
-PARTS: dict[str, Measure] = {"entries": entries.measure, "hollow": hollow.measure, "real": real.measure}
+DEFAULT_PAGE = Path("docs/CAPACITY.md")
+SUITES: dict[str, Measurement] = {
+    "entries": entries.measure,
+    "hollow": hollow.measure,
+    "real": real.measure,
+}
 
 
-def run(small: bool, seed: int, parts: tuple[str, ...]) -> list[Slope]:
-    """Measure the named parts, all where none is named, and print each slope as it comes."""
+def run_suites(small: bool, seed: int, suites: tuple[str, ...]) -> list[Slope]:
+    """Run the named suites, or all of them if none is named, and print each slope once it is measured."""
     slopes = []
-    for part in parts or tuple(PARTS):
-        began = time.monotonic()
-        for slope in PARTS[part](small, seed):
-            click.echo(f"{slope.name:34} {slope.value:14,.3f} {slope.unit:28} {slope.how}")
+    for suite in suites or tuple(SUITES):
+        started_at = time.monotonic()
+        for slope in SUITES[suite](small, seed):
+            click.echo(f"{slope.name:34} {slope.value:14,.3f} {slope.unit:28} {slope.description}")
             slopes.append(slope)
-        click.echo(f"{part}: {time.monotonic() - began:.0f} s", err=True)
+        click.echo(f"{suite}: {time.monotonic() - started_at:.0f} s", err=True)
     return slopes
 
 
 @click.group()
 def main() -> None:
-    """Measure what a fleet of gateways costs: the real module and real gateways among stand-ins."""
+    """Measure what a fleet of gateways costs, in simulated fleets and with real gateway processes."""
 
 
-seed_option = click.option("--seed", default=1, show_default=True, help="Seed of all that is drawn.")
-parts_argument = click.argument("parts", nargs=-1, type=click.Choice(list(PARTS)))
+seed_option = click.option("--seed", default=1, show_default=True, help="Seed of the random generators.")
+suites_argument = click.argument("suites", nargs=-1, type=click.Choice(list(SUITES)))
 
 
 @main.command()
 @seed_option
-@click.option("--small", is_flag=True, help="The sizes that check uses.")
-@parts_argument
-def slopes(seed: int, small: bool, parts: tuple[str, ...]) -> None:
-    """Print every slope, or those of the named PARTS."""
-    run(small, seed, parts)
+@click.option("--small", is_flag=True, help="Measure at the small sizes that check uses.")
+@suites_argument
+def slopes(seed: int, small: bool, suites: tuple[str, ...]) -> None:
+    """Print the slopes of the named SUITES, or of all."""
+    run_suites(small, seed, suites)
 
 
 @main.command()
 @seed_option
-@click.option("--page", default=PAGE, show_default=True, type=click.Path(path_type=Path), help="The page.")
+@click.option(
+    "--page",
+    default=DEFAULT_PAGE,
+    show_default=True,
+    type=click.Path(path_type=Path),
+    help="Markdown page that states the ranges.",
+)
 def check(seed: int, page: Path) -> None:
-    """Fail where a slope, measured at small sizes, leaves the range that the page states for it."""
+    """Fail if a slope, measured at small sizes, is out of the range that the page states."""
     try:
-        ranges = stated(page)
+        ranges = read_ranges(page)
     except PageError as error:
         raise click.ClickException(str(error)) from None
-    found = faults(run(True, seed, ()), ranges)
-    for line in found:
+    violations = find_violations(run_suites(True, seed, ()), ranges)
+    for line in violations:
         click.echo(line, err=True)
-    click.echo(f"{len(ranges)} slopes, {len(found)} faults")
-    sys.exit(bool(found))
+    click.echo(f"{len(ranges)} slopes, {len(violations)} faults")
+    sys.exit(bool(violations))
 
 
 if __name__ == "__main__":
--- a/thymehinge/emulator/clock.py
+++ b/thymehinge/emulator/clock.py
@@ -1,4 +1,4 @@
-"""One simulated clock: a heap of events, and the generator that all of a run's chance comes from."""
+"""A simulated clock: a queue of timed events, and the random generator of the whole run."""
 
 from __future__ import annotations
 
@@ -7,27 +7,27 @@
 
 import numpy
 
-START = 100.0  # s on the simulated clock at which a run begins: above 0, which means "long ago" in a list
+START_TIME = 100.0  # seconds; above 0, since a server list gives 0 as the start of a long-running server
 
 
 class Clock:
-    """Simulated time in seconds; equal times keep the order in which they were set."""
+    """Simulated time in seconds; events due at the same time run in the order of scheduling."""
 
     def __init__(self, seed: int) -> None:
         self.rng = numpy.random.default_rng(seed)
-        self.now = START
-        self.heap: list[tuple[float, int, Callable[..., None], tuple[object, ...]]] = []
-        self.order = 0
+        self.now = START_TIME
+        self.events: list[tuple[float, int, Callable[..., None], tuple[object, ...]]] = []
+        self.sequence = 0
 
-    def after(self, delay: float, what: Callable[..., None], *args: object) -> None:
-        """Call `what` in so many seconds, at once where that is below 0."""
-        self.order += 1
-        heapq.heappush(self.heap, (self.now + max(0.0, delay), self.order, what, args))
+    def call_later(self, delay: float, callback: Callable[..., None], *args: object) -> None:
+        """Schedule a call in `delay` seconds; a negative delay counts as 0."""
+        self.sequence += 1
+        heapq.heappush(self.events, (self.now + max(0.0, delay), self.sequence, callback, args))
 
     def run(self, seconds: float) -> None:
-        """Let so many seconds pass."""
-        until = self.now + seconds
-        while self.heap and self.heap[0][0] <= until:
-            self.now, _, what, args = heapq.heappop(self.heap)
-            what(*args)
-        self.now = until
+        """Advance the clock and run the events that become due."""
+        end = self.now + seconds
+        while self.events and self.events[0][0] <= end:
+            self.now, _, callback, args = heapq.heappop(self.events)
+            callback(*args)
+        self.now = end
--- a/thymehinge/emulator/customers.py
+++ b/thymehinge/emulator/customers.py
@@ -1,4 +1,4 @@
-"""Customers: how popular each is, its quota, its set of gateways, and its use held against the quota."""
+"""Simulated customers: popularity, quota, set of gateways, and the use of each quota."""
 
 from __future__ import annotations
 
@@ -10,77 +10,97 @@
 from thymehinge import interface as api
 from thymehinge.emulator.clock import Clock
 
-FOR_EACH_GATEWAY = 50  # customers, where nothing else is said
-ZIPF = 0.8  # exponent of popularity by rank: a few customers bring most of the traffic
-SPREAD_LEAST = 3  # gateways of a customer's set, lest one restart shuts it out
-PART_MOST = 0.25  # of a gateway's traffic that one customer may bring: a larger one has a larger set
-SKEW_SHAPE = 4.0  # of the gamma distribution of traffic over gateways: a spread of half the mean
-QUOTA_LEAST, PLANS = 1 / 16, 20  # units/s of the smallest plan; each next one has twice as much
-QUOTA_ROOM = 1.25  # of its mean demand that a customer's quota holds at least
-SHORT, SHORT_ROOM = 0.1, 0.5  # share of the customers who ask for more than their quota, and what it holds
-BURST, BURST_LEAST = 4.0, 4.0  # s of the rate, and units, that a full bucket holds
-BATCH = 1024  # arrivals drawn at once, for speed
+CUSTOMERS_PER_GATEWAY = 50  # default
+ZIPF_EXPONENT = 0.8  # of popularity by rank
+MIN_SPREAD = 3  # gateways of a customer's set, so that one restart does not cut the customer off
+MAX_CUSTOMER_SHARE = 0.25  # of a gateway's traffic from one customer; larger customers get more gateways
+GATEWAY_WEIGHT_SHAPE = 4.0  # of the gamma distribution of traffic over gateways: deviation of half the mean
+MIN_QUOTA_RATE, PLAN_COUNT = 1 / 16, 20  # units/s of the smallest plan; each further one has twice the rate
+QUOTA_HEADROOM = 1.25  # least ratio of a customer's quota to its mean demand
+SHORT_QUOTA_SHARE = 0.1  # of the customers, who demand more than their quota
+SHORT_QUOTA_HEADROOM = 0.5  # the same ratio for them
+BURST_SECONDS = 4.0  # seconds of a plan's rate that a full bucket holds
+MIN_BURST = 4.0  # units that a full bucket holds at least
+BATCH_SIZE = 1024  # arrivals drawn at once, for speed
 
 
 @dataclass(slots=True)
-class Meter:
-    """A customer's use held against its quota: one exact bucket that sees every unit sent."""
+class QuotaMeter:
+    """An exact token bucket that records a customer's use within and over its quota, in units."""
 
     rate: float
     burst: float
-    level: float
-    at: float
+    tokens: float
+    updated_at: float
     used: float = 0.0
-    beyond: float = 0.0
+    over_quota: float = 0.0
 
-    def use(self, now: float, units: float) -> None:
-        self.level, self.at = min(self.burst, self.level + self.rate * (now - self.at)), now
-        inside = min(units, self.level)
-        self.level -= inside
+    def record(self, now: float, units: float) -> None:
+        self.tokens, self.updated_at = min(self.burst, self.tokens + self.rate * (now - self.updated_at)), now
+        covered = min(units, self.tokens)
+        self.tokens -= covered
         self.used += units
-        self.beyond += units - inside
+        self.over_quota += units - covered
 
 
-def plans() -> tuple[api.Plan, ...]:
-    """Plans from the smallest quota up, each with twice the rate of the one before."""
-    rates = [QUOTA_LEAST * 2**i for i in range(PLANS)]
-    return tuple(api.Plan(f"rate{r:g}", r, max(BURST_LEAST, BURST * r), overage_cost=1.0) for r in rates)
+def make_plans() -> tuple[api.Plan, ...]:
+    """Return the plans in ascending order, each with twice the rate of the one before."""
+    rates = [MIN_QUOTA_RATE * 2**i for i in range(PLAN_COUNT)]
+    return tuple(
+        api.Plan(f"rate{r:g}", r, max(MIN_BURST, BURST_SECONDS * r), overage_cost=1.0) for r in rates
+    )
 
 
 class Customers:
-    """Poisson arrivals of Zipf-skewed customers: `each` and a mean of `rate` requests/s for every gateway."""
-
-    def __init__(self, clock: Clock, gateways: int, rate: float, each: int = FOR_EACH_GATEWAY) -> None:
-        if gateways < 1 or each < 1 or not 0 <= rate < math.inf:
-            raise ValueError(f"{gateways} gateways, {rate} requests/s, {each} customers each: no fleet")
-        self.clock, self.gateways, self.total = clock, gateways, gateways * rate
-        rng, count = clock.rng, each * gateways
-        popularity = 1 / numpy.arange(1, count + 1) ** ZIPF
-        self.cumulative = numpy.cumsum(popularity / popularity.sum())
-        demand = self.total * popularity / popularity.sum()
-        spread = numpy.ceil(demand / (PART_MOST * rate)) if rate > 0 else numpy.ones(count)
-        self.spread = [int(s) for s in numpy.clip(spread, min(SPREAD_LEAST, gateways), gateways)]
-        self.first = [int(f) for f in rng.integers(gateways, size=count)]
-        weights = rng.gamma(SKEW_SHAPE, 1 / SKEW_SHAPE, size=gateways)
-        self.sets = [  # cumulative weights of each set's gateways
+    """Poisson arrivals from customers of Zipf-distributed popularity.
+
+    Each gateway has `per_gateway` customers and `request_rate` requests/s on average. Raises ValueError for
+    values that make no fleet.
+    """
+
+    def __init__(
+        self,
+        clock: Clock,
+        gateways: int,
+        request_rate: float,
+        per_gateway: int = CUSTOMERS_PER_GATEWAY,
+    ) -> None:
+        if gateways < 1 or per_gateway < 1 or not 0 <= request_rate < math.inf:
+            raise ValueError(
+                f"invalid fleet: {gateways} gateways, {request_rate} requests/s, {per_gateway} customers each"
+            )
+        self.clock, self.gateways, self.total_rate = clock, gateways, gateways * request_rate
+        rng, count = clock.rng, per_gateway * gateways
+        popularity = 1 / numpy.arange(1, count + 1) ** ZIPF_EXPONENT
+        self.cumulative_popularity = numpy.cumsum(popularity / popularity.sum())
+        demand = self.total_rate * popularity / popularity.sum()
+        spread = (
+            numpy.ceil(demand / (MAX_CUSTOMER_SHARE * request_rate))
+            if request_rate > 0
+            else numpy.ones(count)
+        )
+        self.spread = [int(s) for s in numpy.clip(spread, min(MIN_SPREAD, gateways), gateways)]
+        self.first_gateway = [int(f) for f in rng.integers(gateways, size=count)]
+        weights = rng.gamma(GATEWAY_WEIGHT_SHAPE, 1 / GATEWAY_WEIGHT_SHAPE, size=gateways)
+        self.cumulative_weights = [  # of the gateways in each customer's set
             numpy.cumsum(weights[(f + numpy.arange(s)) % gateways])
-            for f, s in zip(self.first, self.spread, strict=True)
+            for f, s in zip(self.first_gateway, self.spread, strict=True)
         ]
-        room = numpy.where(rng.random(count) < SHORT, SHORT_ROOM, QUOTA_ROOM)
-        steps = numpy.ceil(numpy.log2(numpy.maximum(demand * room / QUOTA_LEAST, 1.0)))
-        offered = plans()
-        self.plans = [offered[min(int(step), len(offered) - 1)] for step in steps]
-        self.meters = [Meter(p.rate, p.burst, p.burst, clock.now) for p in self.plans]
-        self.batch: list[tuple[float, int, float]] = []
-
-    def draw(self) -> tuple[float, int, int]:
-        """The next arrival: seconds until it comes, the customer, and the gateway it comes to."""
-        if not self.batch:
+        headroom = numpy.where(rng.random(count) < SHORT_QUOTA_SHARE, SHORT_QUOTA_HEADROOM, QUOTA_HEADROOM)
+        plan_indexes = numpy.ceil(numpy.log2(numpy.maximum(demand * headroom / MIN_QUOTA_RATE, 1.0)))
+        plans = make_plans()
+        self.plans = [plans[min(int(index), len(plans) - 1)] for index in plan_indexes]
+        self.meters = [QuotaMeter(p.rate, p.burst, p.burst, clock.now) for p in self.plans]
+        self.arrivals: list[tuple[float, int, float]] = []  # drawn in advance
+
+    def draw_arrival(self) -> tuple[float, int, int]:
+        """Draw the next arrival: seconds until then, the customer, and the gateway that it uses."""
+        if not self.arrivals:
             rng = self.clock.rng
-            gaps = rng.exponential(1 / self.total, BATCH).tolist()
-            who = numpy.searchsorted(self.cumulative[:-1], rng.random(BATCH)).tolist()
-            self.batch = list(zip(gaps, who, rng.random(BATCH).tolist(), strict=True))
-        gap, who, turn = self.batch.pop()
-        sums = self.sets[who]
-        position = int(numpy.searchsorted(sums[:-1], turn * sums[-1]))
-        return gap, who, (self.first[who] + position) % self.gateways
+            delays = rng.exponential(1 / self.total_rate, BATCH_SIZE).tolist()
+            customers = numpy.searchsorted(self.cumulative_popularity[:-1], rng.random(BATCH_SIZE)).tolist()
+            self.arrivals = list(zip(delays, customers, rng.random(BATCH_SIZE).tolist(), strict=True))
+        delay, customer, quantile = self.arrivals.pop()
+        weights = self.cumulative_weights[customer]
+        position = int(numpy.searchsorted(weights[:-1], quantile * weights[-1]))
+        return delay, customer, (self.first_gateway[customer] + position) % self.gateways
--- a/thymehinge/emulator/discovery.py
+++ b/thymehinge/emulator/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: where the table servers stand, what befalls them, and what each gateway is told, and when."""
+"""Simulated discovery: the table servers, their restarts and crashes, and the lists sent to gateways."""
 
 from __future__ import annotations
 
@@ -9,34 +9,37 @@
 from thymehinge.emulator.clock import Clock
 from thymehinge.interface import LifecycleState, ListKind
 
-TOLD = 0.05, 0.5  # s from a change until a gateway hears of it: an agent's pull and its way
-NOTICE = 1.0  # s until discovery sees that a server is lost
-DRAIN, BOOT, REPAIR = 2.0, 3.0, 10.0  # s of a restart's drain, of a start, until what was lost is back
+UPDATE_DELAY = 0.05, 0.5  # seconds, uniform: from a change until a gateway receives it
+DETECTION_DELAY = 1.0  # seconds until discovery detects a crash
+DRAIN_TIME = 2.0  # seconds, before a restart
+STARTUP_TIME = 3.0  # seconds, of a restart
+REPAIR_TIME = 10.0  # seconds until a crashed server runs again
 
 
 @dataclass(frozen=True, slots=True)
 class Layout:
-    """How many there are of each: regions, zones in each, racks in each zone, and table servers in all."""
+    """Number of table servers, and of the regions, zones and racks that they are spread over."""
 
     servers: int
     regions: int = 3
-    zones: int = 2
-    racks: int = 4
+    zones_per_region: int = 2
+    racks_per_zone: int = 4
 
     def __post_init__(self) -> None:
-        if min(self.servers, self.regions, self.zones, self.racks) < 1:
-            raise ValueError(f"a layout needs one of each at least: {self}")
+        """Raise ValueError if a number is below 1."""
+        if min(self.servers, self.regions, self.zones_per_region, self.racks_per_zone) < 1:
+            raise ValueError(f"layout needs at least one of each: {self}")
 
-    def place(self, number: int) -> tuple[str, int]:
-        """The zone's name and the rack, numbered through, of a table server; neighbours stand apart."""
-        zone = number % (self.regions * self.zones)
-        rack = number // (self.regions * self.zones) % self.racks
-        return f"r{zone % self.regions}z{zone // self.regions}", zone * self.racks + rack
+    def zone_and_rack(self, number: int) -> tuple[str, int]:
+        """Return a server's zone and its rack, numbered over all zones; successive servers differ in zone."""
+        zone = number % (self.regions * self.zones_per_region)
+        rack = number // (self.regions * self.zones_per_region) % self.racks_per_zone
+        return f"r{zone % self.regions}z{zone // self.regions}", zone * self.racks_per_zone + rack
 
 
 @dataclass(frozen=True, slots=True)
-class Rates:
-    """Events a second: for each table server, rack or zone."""
+class EventRates:
+    """Events per second: restarts and crashes of each table server, crashes of each whole rack and zone."""
 
     restart: float = 0.0
     server: float = 0.0
@@ -44,125 +47,130 @@
     zone: float = 0.0
 
     def __post_init__(self) -> None:
+        """Raise ValueError if a rate is negative."""
         if min(self.restart, self.server, self.rack, self.zone) < 0:
-            raise ValueError(f"rates are 0 or more: {self}")
+            raise ValueError(f"event rates must not be negative: {self}")
 
 
 class Discovery:
-    """Keeps the list; `tell` takes it to a gateway, `change` is called as a server starts, drains, stops."""
+    """Keeps the server list and sends each gateway snapshots and deltas of it.
+
+    `deliver_list` passes a list to a gateway; `on_state_change` is called when a server starts, drains or
+    stops.
+    """
 
     def __init__(
         self,
         clock: Clock,
         layout: Layout,
-        rates: Rates,
+        rates: EventRates,
         gateways: int,
-        tell: Callable[[int, api.ServerList], None],
-        change: Callable[[api.Server], None],
+        deliver_list: Callable[[int, api.ServerList], None],
+        on_state_change: Callable[[api.Server], None],
     ) -> None:
-        self.clock, self.tell, self.change = clock, tell, change
-        self.listed: dict[str, api.Server] = {}
-        self.log: list[api.Server] = []  # every change; its length is the list's version
-        self.seen: list[int | None] = [None] * gateways  # the version told; None before the first list
-        self.under_way = [False] * gateways  # something will soon be told
-        self.entries = [0] * gateways  # told to each
-        self.busy: set[str] = set()  # servers that something befalls
+        self.clock, self.deliver_list, self.on_state_change = clock, deliver_list, on_state_change
+        self.server_list: dict[str, api.Server] = {}
+        self.changes: list[api.Server] = []  # since the start; their number is the list's version
+        self.sent_versions: list[int | None] = [None] * gateways  # None before a gateway's first list
+        self.delta_scheduled = [False] * gateways
+        self.entries_sent = [0] * gateways
+        self.out_of_service: set[str] = set()  # servers that restart or have crashed
         racks: dict[int, list[str]] = {}
         zones: dict[str, list[str]] = {}
         for number in range(layout.servers):
-            name, (zone, rack) = f"t{number}", layout.place(number)
-            entry = self.listed[name] = api.Server(name, zone=zone, cell=rack)
-            change(entry)
+            name, (zone, rack) = f"t{number}", layout.zone_and_rack(number)
+            entry = self.server_list[name] = api.Server(name, zone=zone, cell=rack)
+            on_state_change(entry)
             racks.setdefault(rack, []).append(name)
             zones.setdefault(zone, []).append(name)
-        alone = [[name] for name in self.listed]
+        single_servers = [[name] for name in self.server_list]
         self.groups: dict[str, list[list[str]]] = {
-            "restart": alone,
-            "server": alone,
+            "restart": single_servers,
+            "server": single_servers,
             "rack": list(racks.values()),
             "zone": list(zones.values()),
         }
         for kind, groups in self.groups.items():
-            self.next(kind, getattr(rates, kind) * len(groups))
+            self.schedule_event(kind, getattr(rates, kind) * len(groups))
 
-    # What befalls the table servers.
+    # Restarts and crashes of table servers.
 
-    def next(self, kind: str, rate: float) -> None:
+    def schedule_event(self, kind: str, rate: float) -> None:
         if rate > 0:
-            self.clock.after(self.clock.rng.exponential(1 / rate), self.strike, kind, rate)
+            self.clock.call_later(self.clock.rng.exponential(1 / rate), self.run_event, kind, rate)
 
-    def strike(self, kind: str, rate: float) -> None:
-        """One of the groups is hit, and the next event is drawn."""
+    def run_event(self, kind: str, rate: float) -> None:
+        """Restart or crash a random group, and schedule the next event of this kind."""
         group = self.groups[kind][self.clock.rng.integers(len(self.groups[kind]))]
         if kind == "restart":
             self.restart(group[0])
         else:
-            self.lose(group)
-        self.next(kind, rate)
+            self.crash(group)
+        self.schedule_event(kind, rate)
 
     def restart(self, name: str) -> bool:
-        """Drain a server, stop it and start it anew; false where something befalls it already."""
-        if name in self.busy:
+        """Drain, stop and start a server; return False if it is out of service already."""
+        if name in self.out_of_service:
             return False
-        self.busy.add(name)
-        self.change(replace(self.listed[name], state=LifecycleState.DRAINING))
+        self.out_of_service.add(name)
+        self.on_state_change(replace(self.server_list[name], state=LifecycleState.DRAINING))
         self.publish(name, LifecycleState.DRAINING)
-        self.clock.after(DRAIN, self.stop, name)
+        self.clock.call_later(DRAIN_TIME, self.stop, name)
         return True
 
     def stop(self, name: str) -> None:
-        entry = self.listed[name]
-        self.change(replace(entry, state=LifecycleState.GONE))
+        entry = self.server_list[name]
+        self.on_state_change(replace(entry, state=LifecycleState.GONE))
         self.publish(name, LifecycleState.GONE)
-        self.clock.after(BOOT, self.start, entry)
+        self.clock.call_later(STARTUP_TIME, self.start, entry)
 
-    def lose(self, names: Iterable[str]) -> None:
-        """Servers fall silent at once; discovery sees it later, and later still they are back."""
+    def crash(self, names: Iterable[str]) -> None:
+        """Stop servers without a drain; they are delisted after DETECTION_DELAY, back after REPAIR_TIME."""
         for name in names:
-            if name not in self.busy:
-                self.busy.add(name)
-                self.change(replace(self.listed[name], state=LifecycleState.GONE))
-                self.clock.after(NOTICE, self.publish, name, LifecycleState.GONE)
-                self.clock.after(REPAIR, self.start, self.listed[name])
+            if name not in self.out_of_service:
+                self.out_of_service.add(name)
+                self.on_state_change(replace(self.server_list[name], state=LifecycleState.GONE))
+                self.clock.call_later(DETECTION_DELAY, self.publish, name, LifecycleState.GONE)
+                self.clock.call_later(REPAIR_TIME, self.start, self.server_list[name])
 
     def start(self, entry: api.Server) -> None:
-        fresh = replace(entry, state=LifecycleState.RUNNING, started_at=self.clock.now)
-        self.busy.discard(entry.name)
-        self.change(fresh)
-        self.listed[entry.name] = fresh
+        started = replace(entry, state=LifecycleState.RUNNING, started_at=self.clock.now)
+        self.out_of_service.discard(entry.name)
+        self.on_state_change(started)
+        self.server_list[entry.name] = started
         self.publish(entry.name, LifecycleState.RUNNING)
 
-    # What gateways are told.
+    # Updates to gateways.
 
     def publish(self, name: str, state: LifecycleState) -> None:
-        """Note a change, and tell every gateway that has a list."""
-        entry = replace(self.listed[name], state=state)
+        """Record a change of the list, and schedule a delta for every gateway that has a list."""
+        entry = replace(self.server_list[name], state=state)
         if state is LifecycleState.GONE:
-            del self.listed[name]
+            del self.server_list[name]
         else:
-            self.listed[name] = entry
-        self.log.append(entry)
-        for gateway, seen in enumerate(self.seen):
-            if seen is not None:
-                self.soon(gateway)
-
-    def soon(self, gateway: int) -> None:
-        if not self.under_way[gateway]:
-            self.under_way[gateway] = True
-            self.clock.after(self.clock.rng.uniform(*TOLD), self.send_changes, gateway)
-
-    def send_changes(self, gateway: int) -> None:
-        """Tell the last of each server's changes since the version that the gateway has."""
-        self.under_way[gateway], seen = False, self.seen[gateway]
-        if seen is not None and seen < len(self.log):
-            changed = {entry.name: entry for entry in self.log[seen:]}
+            self.server_list[name] = entry
+        self.changes.append(entry)
+        for gateway, version in enumerate(self.sent_versions):
+            if version is not None:
+                self.schedule_delta(gateway)
+
+    def schedule_delta(self, gateway: int) -> None:
+        if not self.delta_scheduled[gateway]:
+            self.delta_scheduled[gateway] = True
+            self.clock.call_later(self.clock.rng.uniform(*UPDATE_DELAY), self.send_delta, gateway)
+
+    def send_delta(self, gateway: int) -> None:
+        """Send the last change of each server since the version that the gateway has."""
+        self.delta_scheduled[gateway], version = False, self.sent_versions[gateway]
+        if version is not None and version < len(self.changes):
+            changed = {entry.name: entry for entry in self.changes[version:]}
             self.send(gateway, ListKind.DELTA, tuple(changed.values()))
 
-    def send_list(self, gateway: int) -> None:
-        """Tell the whole list now, as to a gateway that has just started."""
-        self.send(gateway, ListKind.SNAPSHOT, tuple(self.listed.values()))
+    def send_snapshot(self, gateway: int) -> None:
+        """Send the whole list without delay, as to a gateway that has just started."""
+        self.send(gateway, ListKind.SNAPSHOT, tuple(self.server_list.values()))
 
     def send(self, gateway: int, kind: ListKind, entries: tuple[api.Server, ...]) -> None:
-        self.seen[gateway] = len(self.log)
-        self.entries[gateway] += len(entries)
-        self.tell(gateway, api.ServerList(kind, len(self.log), entries))
+        self.sent_versions[gateway] = len(self.changes)
+        self.entries_sent[gateway] += len(entries)
+        self.deliver_list(gateway, api.ServerList(kind, len(self.changes), entries))
--- a/thymehinge/emulator/entries.py
+++ b/thymehinge/emulator/entries.py
@@ -1,7 +1,8 @@
-"""What one more entry of each kind of state costs one gateway: bytes, and processor time.
+"""Memory and processor time that one more entry of each kind of state costs a gateway.
 
-Bytes are those that tracemalloc counts between two sizes, divided by the entries between them: they depend on
-the version of Python alone. Processor time is the module's, in units of one request at 20 servers.
+Memory is measured by tracemalloc as the growth between two sizes, divided by the entries in between; it
+depends on the version of Python only. Processor time is that of the decision module, relative to one request
+at 20 servers.
 """
 
 from __future__ import annotations
@@ -29,22 +30,23 @@
 from thymehinge.net.exchange import READ_COMMAND, AcceptedValues, Exchange
 from thymehinge.net.servers import Servers
 
-FEW, MANY = 20, 2_000  # servers or customers; the first is the small fleet whose request is the unit
-FLEETS = (20_000, 200_000)  # servers of the fleets that are timed in full alone: the last takes 0.5 GB
-CROWD = 50_000  # customers of the longest beat, in full alone
-GROWTH = 4  # times between two sizes in bytes: a power of two, so that hash tables are as full at both
-SIZES = {True: 500, False: 4_000}  # entries at the smaller size, at small sizes or in full
-KEPT = 250  # servers kept aside at the smaller size: the module keeps 1,024 at most
-HAND = 250  # requests in hand at the smaller size: each needs a server, and looks at all of them
-ROUNDS = 40  # each times everything once; the median of their ratios is taken
-REQUESTS = 40  # requests, or asks, that are timed together: some ms, long against the clock's grain
-ANSWER = 0.01  # s from a request to its answer; the next request comes then, so 100 each second
-QUICK = 1e-5  # s of the same where many customers come before the first is forgotten
-NOTE_GAP = 0.001  # s between two asks
-ASK_WAIT = 60.0  # s that an ask may wait: its answer is known for longer than the measuring's own clock runs
-GATEWAYS = 200  # of the tier whose asks a home answers
-CUSTOMERS = 200  # that requests and asks come from, in turn
-NOW = 1_000.0  # s on the measuring's own clock at its start
+FEW_ENTRIES = 20  # servers or customers, the smaller size for processor time
+MANY_ENTRIES = 2_000  # the larger size
+LARGE_LIST_SIZES = (20_000, 200_000)  # servers, at full sizes only; the last takes 0.5 GB
+LARGE_CUSTOMER_COUNT = 50_000  # at full sizes only
+GROWTH_FACTOR = 4  # between the two sizes for memory: a power of two, so hash tables are equally full at both
+ENTRY_COUNTS = {True: 500, False: 4_000}  # the smaller size for memory, keyed by `small`
+DELISTED_SERVERS = 250  # the smaller size for them; the module keeps at most 1,024
+PENDING_REQUESTS = 250  # the smaller size for them; each takes time in proportion to the servers
+TIMING_ROUNDS = 40
+CALLS_PER_ROUND = 40  # requests timed together, so that they take long against the clock's resolution
+RESPONSE_TIME = 0.01  # seconds from a request to its answer, which the next request follows
+SHORT_RESPONSE_TIME = 1e-5  # seconds; short enough for many customers to come before the first is dropped
+QUOTA_REQUEST_INTERVAL = 0.001  # seconds
+QUOTA_REQUEST_WAIT = 60.0  # seconds that a quota request may wait; its answer is kept for longer
+GATEWAY_COUNT = 200  # of the tier that sends quota requests to an owner
+CUSTOMER_COUNT = 200  # that requests and quota requests come from, in turn
+START_TIME = 1_000.0  # seconds, simulated time
 CLASSES = (
     api.RequestClass("table-view", latency_target=0.3, timeout=1.0),
     api.RequestClass(
@@ -58,23 +60,23 @@
     ),
     api.RequestClass("dice-shuffle", 0.8, 1.0, value=2.0, idempotency=api.Idempotency.UNSAFE),
 )
-PLAN = api.Plan(
-    "club", rate=100.0, burst=400.0, overage_value=0.3
-)  # so wide that no request waits for tokens
-ALONE = api.Settings(CLASSES, (PLAN,), slow_start_capacity=0.2, slow_start_duration=10.0)
-FREE = api.Settings(CLASSES, (api.Plan("club"),))  # without quotas
-HOME = api.Settings(  # what a peer takes in does not bound it: each answer goes out by itself
-    CLASSES, (PLAN,), gateway_count=GATEWAYS, peers_enabled=True, peer_messages_per_s=1e6
+# Large enough that no request waits for tokens.
+PLAN = api.Plan("club", rate=100.0, burst=400.0, overage_value=0.3)
+SINGLE_GATEWAY_SETTINGS = api.Settings(CLASSES, (PLAN,), slow_start_capacity=0.2, slow_start_duration=10.0)
+NO_QUOTA_SETTINGS = api.Settings(CLASSES, (api.Plan("club"),))
+# The limit on peer messages is so high that each answer is sent in a message of its own.
+QUOTA_OWNER_SETTINGS = api.Settings(
+    CLASSES, (PLAN,), gateway_count=GATEWAY_COUNT, peers_enabled=True, peer_messages_per_s=1e6
 )
 
-Grow = Callable[[int, int], object]  # adds the entries from one number up to another
-Work = tuple[Callable[[], object], int]  # what is timed, and how often in a row
+AddEntries = Callable[[int, int], object]  # adds entries numbered from the first argument up to the second
+TimedCall = tuple[Callable[[], object], int]  # a function, and the number of calls to time together
 
 
 def host_entries(count: int, rng: random.Random, first: int = 0) -> list[dict[str, Any]]:
-    """Entries of a list as discovery writes them, each address its own and all as long.
+    """Return entries of a server list in discovery's format, with distinct addresses of equal length.
 
-    They are read from JSON, so that each entry holds its own strings.
+    The entries are parsed from JSON, so that they share no strings.
     """
     entries = [
         {
@@ -92,33 +94,33 @@
 
 
 def host_list(count: int, rng: random.Random, first: int = 0) -> HostList:
-    """A list with that many servers, which have been up for long."""
+    """Return a list of servers that have passed their slow start."""
     return read_list({"seq": 1, "whole": True, "hosts": host_entries(count, rng, first)})
 
 
-# Bytes.
+# Memory.
 
 
-def bytes_each(grow: Grow, few: int) -> float:
-    """Bytes that stay allocated for an entry, between `few` entries and GROWTH times as many."""
+def bytes_per_entry(add_entries: AddEntries, count: int) -> float:
+    """Return the bytes allocated per entry, between `count` entries and GROWTH_FACTOR times as many."""
     tracemalloc.start()
     try:
-        grow(0, few)
-        gc.collect()  # also empties the free lists, which count as allocated
+        add_entries(0, count)
+        gc.collect()  # also clears free lists, which tracemalloc counts as allocated
         before, _ = tracemalloc.get_traced_memory()
-        grow(few, GROWTH * few)
+        add_entries(count, GROWTH_FACTOR * count)
         gc.collect()
         after, _ = tracemalloc.get_traced_memory()
     finally:
         tracemalloc.stop()
-    return (after - before) / ((GROWTH - 1) * few)
+    return (after - before) / ((GROWTH_FACTOR - 1) * count)
 
 
-class Clock:
-    """Gives a later time at each call, by a microsecond, as an object of its own."""
+class SteppingClock:
+    """A clock that advances by a microsecond per call, and returns a new float object each time."""
 
     def __init__(self) -> None:
-        self.now = NOW
+        self.now = START_TIME
 
     def __call__(self) -> float:
         self.now += 1e-6
@@ -126,309 +128,383 @@
 
 
 def customer_key(number: int, rng: random.Random) -> int:
-    """A customer's key, of 33 bits as all keys."""
+    """Return a customer's key of 33 bits, so that all keys take the same memory."""
     return 1 << 32 | number << 16 | rng.getrandbits(16)
 
 
-def server_bytes(few: int, seed: int) -> float:
-    """Bytes for a server not sent to yet: TrackedServer, Server, its place in `ServerFleet.servers`."""
-    rng, gateway = random.Random(seed), Gateway(ALONE, seed, NOW)
+def server_bytes(count: int, seed: int) -> float:
+    """Return the bytes of a listed server in the decision module, before any request was sent to it."""
+    rng, gateway = random.Random(seed), Gateway(SINGLE_GATEWAY_SETTINGS, seed, START_TIME)
 
-    def grow(first: int, last: int) -> None:
-        gateway.handle(NOW, api.ServerList(ListKind.DELTA, 1, host_list(last - first, rng, first).servers))
+    def add_entries(first: int, last: int) -> None:
+        gateway.handle(
+            START_TIME, api.ServerList(ListKind.DELTA, 1, host_list(last - first, rng, first).servers)
+        )
 
-    return bytes_each(grow, few)
+    return bytes_per_entry(add_entries, count)
 
 
-async def pool_bytes(few: int, seed: int) -> float:
-    """Bytes for a server at the sockets: Pool, its address, and its place in `Servers.pools`."""
-    rng, clock, gateway = random.Random(seed), Clock(), Gateway(ALONE, seed, NOW)
-    servers = Servers(15.0, 0.25, 1024, clock, lambda when, what: None, lambda *end: None)
+async def pool_bytes(count: int, seed: int) -> float:
+    """Return the bytes of a server's connection pool without connections."""
+    rng, clock, gateway = (
+        random.Random(seed),
+        SteppingClock(),
+        Gateway(SINGLE_GATEWAY_SETTINGS, seed, START_TIME),
+    )
+    servers = Servers(15.0, 0.25, 1024, clock, lambda when, callback: None, lambda *end: None)
 
-    def grow(first: int, last: int) -> None:
+    def add_entries(first: int, last: int) -> None:
         hosts = host_list(last - first, rng, first)
         servers.add(hosts.servers, hosts.dials)
-        gateway.handle(NOW, api.ServerList(ListKind.DELTA, 1, hosts.servers))  # owns the names, as always
+        gateway.handle(  # holds the servers' names, as it does in a gateway process
+            START_TIME, api.ServerList(ListKind.DELTA, 1, hosts.servers)
+        )
 
-    return bytes_each(grow, few) - server_bytes(few, seed)
+    return bytes_per_entry(add_entries, count) - server_bytes(count, seed)
 
 
-def departed_bytes(few: int, seed: int) -> float:
-    """Bytes for a server that a whole list lacked and that is kept aside for a while."""
-    rng, gateway = random.Random(seed), Gateway(ALONE, seed, NOW)
+def delisted_bytes(count: int, seed: int) -> float:
+    """Return the bytes of a server that is missing from a snapshot and kept for a while."""
+    rng, gateway = random.Random(seed), Gateway(SINGLE_GATEWAY_SETTINGS, seed, START_TIME)
 
-    def grow(first: int, last: int) -> None:
-        gateway.handle(NOW, api.ServerList(ListKind.SNAPSHOT, 1, host_list(last - first, rng, first).servers))
-        gateway.handle(NOW, api.ServerList(ListKind.SNAPSHOT, 2))
+    def add_entries(first: int, last: int) -> None:
+        gateway.handle(
+            START_TIME, api.ServerList(ListKind.SNAPSHOT, 1, host_list(last - first, rng, first).servers)
+        )
+        gateway.handle(START_TIME, api.ServerList(ListKind.SNAPSHOT, 2))
 
-    return bytes_each(grow, few)
+    return bytes_per_entry(add_entries, count)
 
 
-def customer_bytes(few: int, seed: int) -> float:
-    """Bytes for a customer that has sent a request, answered by now, with its SlotPool."""
+def customer_bytes(count: int, seed: int) -> float:
+    """Return the bytes of a customer whose only request has been answered."""
     rng = random.Random(seed)
-    load = Load(host_list(FEW, rng), seed)
+    load = RequestLoad(host_list(FEW_ENTRIES, rng), seed)
 
-    def grow(first: int, last: int) -> None:
+    def add_entries(first: int, last: int) -> None:
         for i in range(first, last):
-            load.request(customer_key(i, rng), QUICK)
-        load.settle()
+            load.send_request(customer_key(i, rng), SHORT_RESPONSE_TIME)
+        load.drain()
 
-    return bytes_each(grow, few)
+    return bytes_per_entry(add_entries, count)
 
 
-def bucket_bytes(few: int, seed: int) -> float:
-    """Bytes for a customer whose home this gateway is, with its SlotPool, once units were granted."""
-    rng, clock, gateway = random.Random(seed), Clock(), Gateway(HOME, seed, NOW)
+def bucket_bytes(count: int, seed: int) -> float:
+    """Return the bytes of a customer's bucket at its owner, after a grant."""
+    rng, clock, gateway = (
+        random.Random(seed),
+        SteppingClock(),
+        Gateway(QUOTA_OWNER_SETTINGS, seed, START_TIME),
+    )
 
-    def grow(first: int, last: int) -> None:
+    def add_entries(first: int, last: int) -> None:
         for i in range(first, last):
             bucket = gateway.owned_quota(clock(), customer_key(i, rng), PLAN, 1.0)
             bucket.draw(clock(), 1.0, 0.0)
 
-    return bytes_each(grow, few)
+    return bytes_per_entry(add_entries, count)
 
 
-def given_bytes(few: int, seed: int) -> float:
-    """Bytes for an answer that a home knows again; its customers' buckets are there before."""
-    home = Home(seed)
+def quota_answer_bytes(count: int, seed: int) -> float:
+    """Return the bytes of an answer that an owner keeps for repeated quota requests, without the bucket."""
+    owner = QuotaOwner(seed)
 
-    def grow(first: int, last: int) -> None:
+    def add_entries(first: int, last: int) -> None:
         for _ in range(first, last):
-            home.ask(ASK_WAIT)
+            owner.receive_quota_request(QUOTA_REQUEST_WAIT)
 
-    return bytes_each(grow, few)
+    return bytes_per_entry(add_entries, count)
 
 
-async def request_bytes(few: int, seed: int) -> float:
-    """Bytes for a request in hand at the driver, sent to a server and not answered.
+async def request_bytes(count: int, seed: int) -> float:
+    """Return the bytes of a pending request in the driver, sent to a server and not answered.
 
-    Its command, Exchange, Job, the attempt at the module and at the sockets, and what waits in
-    `Gateway.timers` and `Driver.due`. Its customer is known before; its two connections are left out.
+    They cover the command, the exchange, the attempt in the decision module and in the driver, and the timers
+    of both; not the customer's state, nor the connections to client and server. Raises RuntimeError if
+    requests are not sent.
     """
-    rng, clock = random.Random(seed), Clock()
+    rng, clock = random.Random(seed), SteppingClock()
     config = Config(
-        "", ("", 0), "", seed, 1024, 2**28, None, (), None, host_list(2 * GROWTH * few, rng), 15.0, 0.25, FREE
+        "",
+        ("", 0),
+        "",
+        seed,
+        1024,
+        2**28,
+        None,
+        (),
+        None,
+        host_list(2 * GROWTH_FACTOR * count, rng),
+        15.0,
+        0.25,
+        NO_QUOTA_SETTINGS,
     )
-    driver, known = Driver(config, clock), AcceptedValues(FREE)
+    driver, accepted_values = Driver(config, clock), AcceptedValues(NO_QUOTA_SETTINGS)
     driver.servers.start = lambda attempt: None
-    client = SimpleNamespace()  # nothing is written to it while all are in hand
+    client = SimpleNamespace()  # nothing is written to it, as no request is answered
 
-    def grow(first: int, last: int) -> None:
+    def add_entries(first: int, last: int) -> None:
         for i in range(first, last):
             words = [bytes(bytearray(READ_COMMAND)), b"%016x" % 7, b"%016x" % rng.getrandbits(64)]
-            exchange = Exchange([*words, b"c=table-view,t=club,d=%d" % (900 + i % 100)], known)
+            exchange = Exchange([*words, b"c=table-view,t=club,d=%d" % (900 + i % 100)], accepted_values)
             exchange.connection, exchange.received_at = client, driver.clock()
             driver.on_request(exchange)
 
-    found, sent = bytes_each(grow, few), sum(len(e.attempts) for e in driver.exchanges.values())
-    if sent != GROWTH * few:
-        raise RuntimeError(f"{sent} of {GROWTH * few} requests were sent: these are no requests in hand")
-    return found
+    result, sent = (
+        bytes_per_entry(add_entries, count),
+        sum(len(e.attempts) for e in driver.exchanges.values()),
+    )
+    if sent != GROWTH_FACTOR * count:
+        raise RuntimeError(f"{sent} of {GROWTH_FACTOR * count} requests were sent; all must be in flight")
+    return result
 
 
 def message_bytes() -> tuple[int, float]:
-    """Bytes of a message between gateways without any entry, and for an entry."""
+    """Return the bytes of a message between gateways without entries, and of an entry."""
     entry = QuotaCodec.pack_entry(QuotaCodec.REQUEST, 1, 7, 0, 1.0, 0.3, 1.0)
-    head, full = (len(QuotaCodec.encode(1.0, [entry] * count)) for count in (0, QuotaCodec.MAX_ENTRIES))
-    return head, (full - head) / QuotaCodec.MAX_ENTRIES
+    empty, full = (len(QuotaCodec.encode(1.0, [entry] * count)) for count in (0, QuotaCodec.MAX_ENTRIES))
+    return empty, (full - empty) / QuotaCodec.MAX_ENTRIES
 
 
 # Processor time.
 
 
-class Load:
-    """A gateway without peers that serves one request after the other, its timers coming due meanwhile.
+class RequestLoad:
+    """A gateway without peers that serves one request after another, and its timers when they are due.
 
-    What it does once a second is left out: that has slopes of its own.
+    Its periodic work of each second is disabled; that is measured by itself.
     """
 
     def __init__(self, hosts: HostList, seed: int) -> None:
-        self.now, self.number, self.timer = NOW, 0, (math.inf, 0)
-        self.gateway = Gateway(ALONE, seed, NOW)
+        self.now, self.last_request, self.timer = START_TIME, 0, (math.inf, 0)
+        self.gateway = Gateway(SINGLE_GATEWAY_SETTINGS, seed, START_TIME)
         self.gateway.next_control_at = math.inf
-        self.give(api.ServerList(ListKind.SNAPSHOT, 1, hosts.servers))
+        self.deliver(api.ServerList(ListKind.SNAPSHOT, 1, hosts.servers))
 
-    def give(self, event: api.Event) -> list[api.Action]:
+    def deliver(self, event: api.Event) -> list[api.Action]:
+        """Pass an event to the gateway, remember the timer that it sets, and return its actions."""
         actions = self.gateway.handle(self.now, event)
         for action in actions:
             if isinstance(action, api.SetTimer):
                 self.timer = action.due_at, action.tag
         return actions
 
-    def request(self, customer: int | None = None, answer: float = ANSWER) -> None:
-        """One request, sent, and answered well after so many seconds; customers take turns unless told."""
-        self.number += 1
-        customer = self.number % CUSTOMERS if customer is None else customer
-        name = CLASSES[self.number % len(CLASSES)].name
-        sent = self.give(api.Request(self.number, 1.0, name, PLAN.name, customer))
-        server = next(action.server for action in sent if isinstance(action, api.Send))
-        self.now += answer
+    def send_request(self, customer: int | None = None, response_time: float = RESPONSE_TIME) -> None:
+        """Send a request and answer it after `response_time` seconds; by default, customers take turns."""
+        self.last_request += 1
+        customer = self.last_request % CUSTOMER_COUNT if customer is None else customer
+        class_name = CLASSES[self.last_request % len(CLASSES)].name
+        actions = self.deliver(api.Request(self.last_request, 1.0, class_name, PLAN.name, customer))
+        server = next(action.server for action in actions if isinstance(action, api.Send))
+        self.now += response_time
         if self.timer[0] <= self.now:
-            self.give(api.TimerDue(self.timer[1]))
-        self.give(
-            api.Outcome(self.number, 0, server, api.Result.OK, answer, True, load_report={"queue": 1.0})
+            self.deliver(api.TimerDue(self.timer[1]))
+        self.deliver(
+            api.Outcome(
+                self.last_request, 0, server, api.Result.OK, response_time, True, load_report={"queue": 1.0}
+            )
         )
 
-    def settle(self) -> None:
-        """Let time pass until nothing waits but the beat, and the second's work is done once."""
+    def drain(self) -> None:
+        """Advance until only the gateway's periodic timer is left, then run its work of a second once."""
         while len(self.gateway.timers) > 1:
-            self.now += ANSWER
-            self.give(api.TimerDue(self.timer[1]))
+            self.now += RESPONSE_TIME
+            self.deliver(api.TimerDue(self.timer[1]))
         self.gateway.run_controller(self.now)
 
 
-class Home:
-    """A gateway that answers other gateways' asks, one in a message."""
+class QuotaOwner:
+    """A gateway that owns customers' buckets and answers quota requests, each in a message of its own."""
 
     def __init__(self, seed: int) -> None:
-        self.now, self.number, self.gateway = NOW, 0, Gateway(HOME, seed, NOW)
+        self.now, self.request_count, self.gateway = (
+            START_TIME,
+            0,
+            Gateway(QUOTA_OWNER_SETTINGS, seed, START_TIME),
+        )
         self.gateway.next_control_at = math.inf
-        for key in range(CUSTOMERS):
-            self.gateway.owned_quota(NOW, key, PLAN, 1.0)
-
-    def ask(self, wait: float) -> None:
-        """One ask, whose answer goes out with the next event."""
-        self.now, self.number = self.now + NOTE_GAP, self.number + 1
-        tag, sender = divmod(self.number, GATEWAYS - 1)
-        entry = QuotaCodec.pack_entry(QuotaCodec.REQUEST, tag, self.number % CUSTOMERS, 0, 1.0, wait, 1.0)
+        for key in range(CUSTOMER_COUNT):
+            self.gateway.owned_quota(START_TIME, key, PLAN, 1.0)
+
+    def receive_quota_request(self, wait: float) -> None:
+        """Handle a quota request that may wait so many seconds; its answer is sent at the next event."""
+        self.now, self.request_count = self.now + QUOTA_REQUEST_INTERVAL, self.request_count + 1
+        tag, sender = divmod(self.request_count, GATEWAY_COUNT - 1)
+        entry = QuotaCodec.pack_entry(
+            QuotaCodec.REQUEST, tag, self.request_count % CUSTOMER_COUNT, 0, 1.0, wait, 1.0
+        )
         self.gateway.handle(self.now, api.PeerMessage(sender + 1, QuotaCodec.encode(4.0, [entry])))
 
 
-def seconds_each(work: Work) -> float:
-    """Processor time of one go, in seconds, over all that are timed in a row."""
-    act, times = work
-    began = time.process_time()
-    for _ in range(times):
-        act()
-    return (time.process_time() - began) / times
+def seconds_per_call(timed_call: TimedCall) -> float:
+    """Return the processor time of one call in seconds, averaged over the calls timed together."""
+    function, calls = timed_call
+    started_at = time.process_time()
+    for _ in range(calls):
+        function()
+    return (time.process_time() - started_at) / calls
 
 
-def with_servers(hosts: HostList, seed: int) -> Gateway:
-    """A gateway with these servers, each of which has answered."""
-    gateway, rng = Gateway(ALONE, seed, NOW), random.Random(seed)
-    gateway.handle(NOW, api.ServerList(ListKind.SNAPSHOT, 1, hosts.servers))
-    for backend in gateway.fleet.servers.values():
-        backend.unit_latency = rng.uniform(0.01, 0.02)
+def gateway_with_servers(hosts: HostList, seed: int) -> Gateway:
+    """Return a gateway with these servers, each of which has answered a request."""
+    gateway, rng = Gateway(SINGLE_GATEWAY_SETTINGS, seed, START_TIME), random.Random(seed)
+    gateway.handle(START_TIME, api.ServerList(ListKind.SNAPSHOT, 1, hosts.servers))
+    for server in gateway.fleet.servers.values():
+        server.unit_latency = rng.uniform(0.01, 0.02)
     return gateway
 
 
-def with_customers(count: int, seed: int) -> Gateway:
-    """A gateway with so many customers, each of which has just sent a request."""
-    gateway = Gateway(ALONE, seed, NOW)
+def gateway_with_customers(count: int, seed: int) -> Gateway:
+    """Return a gateway with so many customers, each of which has just sent a request."""
+    gateway = Gateway(SINGLE_GATEWAY_SETTINGS, seed, START_TIME)
     for key in range(count):
         request = api.Request(key, 1.0, CLASSES[0].name, PLAN.name, key)
-        gateway.find_quota(NOW, request).demand = 1.0
+        gateway.find_quota(START_TIME, request).demand = 1.0
     return gateway
 
 
-def works(small: bool, seed: int) -> dict[str, Work]:
-    """All that is timed, by name; where it grows with a size, the size ends the name."""
-    rng, found = random.Random(seed), {}
-    for size in (FEW, MANY):
+def timed_calls(small: bool, seed: int) -> dict[str, TimedCall]:
+    """Return the functions to time, by name; a name ends with the size that the cost depends on."""
+    rng, calls = random.Random(seed), {}
+    for size in (FEW_ENTRIES, MANY_ENTRIES):
         entries = host_entries(size, rng)
         raw = {"seq": 1, "whole": True, "hosts": entries}
-        hosts, gateway = read_list(raw), Gateway(ALONE, seed, NOW)
-        whole, change = (
+        hosts, gateway = read_list(raw), Gateway(SINGLE_GATEWAY_SETTINGS, seed, START_TIME)
+        snapshot, delta = (
             api.ServerList(kind, 2, servers)
             for kind, servers in ((ListKind.SNAPSHOT, hosts.servers), (ListKind.DELTA, hosts.servers[:1]))
         )
-        gateway.handle(NOW, whole)
-        often = MANY // size  # as long for few entries as for many
-        found |= {
-            f"request {size}": (Load(hosts, seed).request, REQUESTS),
-            f"servers {size}": (partial(with_servers(hosts, seed).run_controller, NOW), often),
-            f"customers {size}": (partial(with_customers(size, seed).run_controller, NOW), often),
-            f"list {size}": (partial(gateway.handle, NOW, whole), often),
-            f"change {size}": (partial(gateway.handle, NOW, change), 5 * REQUESTS),
-            f"read {size}": (partial(read_list, raw), often),
+        gateway.handle(START_TIME, snapshot)
+        repeats = MANY_ENTRIES // size  # so that both sizes take about as long
+        calls |= {
+            f"request {size}": (RequestLoad(hosts, seed).send_request, CALLS_PER_ROUND),
+            f"servers {size}": (
+                partial(gateway_with_servers(hosts, seed).run_controller, START_TIME),
+                repeats,
+            ),
+            f"customers {size}": (
+                partial(gateway_with_customers(size, seed).run_controller, START_TIME),
+                repeats,
+            ),
+            f"list {size}": (partial(gateway.handle, START_TIME, snapshot), repeats),
+            f"change {size}": (partial(gateway.handle, START_TIME, delta), 5 * CALLS_PER_ROUND),
+            f"read {size}": (partial(read_list, raw), repeats),
         }
-    found["ask"] = partial(Home(seed).ask, 0.0), REQUESTS
+    calls["ask"] = partial(QuotaOwner(seed).receive_quota_request, 0.0), CALLS_PER_ROUND
     if not small:
-        for size in FLEETS:
-            found[f"request {size}"] = Load(host_list(size, rng), seed).request, max(1, FLEETS[0] // size * 4)
-        found["crowd"] = partial(with_customers(CROWD, seed).run_controller, NOW), 1
-    return found
+        for size in LARGE_LIST_SIZES:
+            calls[f"request {size}"] = (
+                RequestLoad(host_list(size, rng), seed).send_request,
+                max(1, LARGE_LIST_SIZES[0] // size * 4),
+            )
+        calls["crowd"] = (
+            partial(gateway_with_customers(LARGE_CUSTOMER_COUNT, seed).run_controller, START_TIME),
+            1,
+        )
+    return calls
 
 
-def rounds(small: bool, seed: int) -> list[dict[str, float]]:
-    """Processor time of each go, in seconds, by name, round after round.
+def time_rounds(small: bool, seed: int) -> list[dict[str, float]]:
+    """Return the processor time of each function in seconds per call, by name, for each round.
 
-    Within a round all are timed one after the other, so that what else the machine does weighs on all alike.
-    Garbage collection is off: its cost follows from all that this process holds, not from the gateway timed.
+    Each round times all functions, so that other load on the machine affects all alike. Garbage collection is
+    off: its cost depends on all objects of this process, not on the gateway being timed.
     """
-    todo = works(small, seed)
+    calls = timed_calls(small, seed)
     gc.collect()
     gc.disable()
     try:
-        for work in todo.values():  # the first go also fills caches, and is not counted
-            seconds_each(work)
-        return [{name: seconds_each(work) for name, work in todo.items()} for _ in range(ROUNDS)]
+        for call in calls.values():  # warm up caches
+            seconds_per_call(call)
+        return [{name: seconds_per_call(call) for name, call in calls.items()} for _ in range(TIMING_ROUNDS)]
     finally:
         gc.enable()
 
 
 def processor_slopes(small: bool, seed: int) -> Iterator[Slope]:
-    """The slopes of processor time, and two times to know them by."""
-    measured, unit = rounds(small, seed), f"request {FEW}"
+    """Measure the slopes of processor time, and two absolute times for reference."""
+    rounds, base_call = time_rounds(small, seed), f"request {FEW_ENTRIES}"
 
-    def ratio(above: Callable[[dict[str, float]], float], below: str = unit) -> float:
-        return statistics.median(above(taken) / taken[below] for taken in measured)
+    def median_ratio(cost: Callable[[dict[str, float]], float], base: str = base_call) -> float:
+        return statistics.median(cost(seconds) / seconds[base] for seconds in rounds)
 
-    def each(name: str) -> float:
-        """What a thousand entries cost in requests, from the cost of many less that of few."""
-        part = 1_000 / (MANY - FEW)
-        return ratio(lambda taken: part * (taken[f"{name} {MANY}"] - taken[f"{name} {FEW}"]))
+    def per_thousand_entries(name: str) -> float:
+        """Return the cost of a thousand entries in requests, from the difference between the two sizes."""
+        scale = 1_000 / (MANY_ENTRIES - FEW_ENTRIES)
+        return median_ratio(
+            lambda seconds: scale * (seconds[f"{name} {MANY_ENTRIES}"] - seconds[f"{name} {FEW_ENTRIES}"])
+        )
 
-    def times(name: str) -> float:
-        return ratio(lambda taken: taken[name])
+    def per_request(name: str) -> float:
+        """Return the cost of a call in requests."""
+        return median_ratio(lambda seconds: seconds[name])
 
     def milliseconds(name: str) -> float:
-        return statistics.median(taken[name] for taken in measured) * 1000
-
-    over = f"{MANY:,} over {FEW} servers"
-    yield Slope("gateway.cpu.servers", times(f"request {MANY}"), "times", f"request, {over}")
-    for size in () if small else FLEETS:
-        name, how = f"gateway.cpu.servers_{size}", f"request, {size:,} over {FEW} servers"
-        yield Slope(name, times(f"request {size}"), "times", how, checked=False)
-    for name, what, how in (
-        ("beat_server", "servers", "run_controller()"),
-        ("beat_customer", "customers", "run_controller()"),
-        ("list_entry", "list", "a whole list known before"),
-        ("read_entry", "read", "read_list"),
+        return statistics.median(seconds[name] for seconds in rounds) * 1000
+
+    sizes = f"{MANY_ENTRIES:,} over {FEW_ENTRIES} servers"
+    yield Slope("gateway.cpu.servers", per_request(f"request {MANY_ENTRIES}"), "times", f"request, {sizes}")
+    for size in () if small else LARGE_LIST_SIZES:
+        name, description = f"gateway.cpu.servers_{size}", f"request, {size:,} over {FEW_ENTRIES} servers"
+        yield Slope(name, per_request(f"request {size}"), "times", description, checked=False)
+    for name, call_name, description in (
+        ("beat_server", "servers", "work of each second"),
+        ("beat_customer", "customers", "work of each second"),
+        ("list_entry", "list", "applying an unchanged list"),
+        ("read_entry", "read", "parsing a list"),
     ):
-        yield Slope(f"gateway.cpu.{name}", each(what), "requests/1,000 entries", f"{how}, {FEW} to {MANY:,}")
-    change = ratio(lambda taken: taken[f"change {MANY}"], f"change {FEW}")
-    yield Slope("gateway.cpu.change", change, "times", f"one entry's change, {over}")
-    yield Slope("gateway.cpu.ask", times("ask"), "requests an ask", "heard and answered, one in a message")
-    yield Slope("time.request", milliseconds(unit), "ms", f"module, {FEW} servers", checked=False)
+        yield Slope(
+            f"gateway.cpu.{name}",
+            per_thousand_entries(call_name),
+            "requests/1,000 entries",
+            f"{description}, {FEW_ENTRIES} to {MANY_ENTRIES:,}",
+        )
+    change = median_ratio(lambda seconds: seconds[f"change {MANY_ENTRIES}"], f"change {FEW_ENTRIES}")
+    yield Slope("gateway.cpu.change", change, "times", f"one entry's change, {sizes}")
+    yield Slope(
+        "gateway.cpu.ask", per_request("ask"), "requests an ask", "quota request and answer, one in a message"
+    )
+    yield Slope(
+        "time.request", milliseconds(base_call), "ms", f"module, {FEW_ENTRIES} servers", checked=False
+    )
     if not small:
         yield Slope(
-            "time.beat", milliseconds("crowd"), "ms", f"run_controller(), {CROWD:,} customers", checked=False
+            "time.beat",
+            milliseconds("crowd"),
+            "ms",
+            f"work of a second, {LARGE_CUSTOMER_COUNT:,} customers",
+            checked=False,
         )
 
 
-def byte_slopes(small: bool, seed: int) -> Iterator[Slope]:
-    """The slopes of bytes."""
-    few, name = SIZES[small], "gateway.memory"
-    between = f"{few:,} to {GROWTH * few:,}"
-    yield Slope(f"{name}.server", server_bytes(few, seed), "bytes a server", f"module, {between}")
-    pool = asyncio.run(pool_bytes(few, seed))
-    yield Slope(f"{name}.pool", pool, "bytes a server", f"pool without connections, {between}")
-    yield Slope(f"{name}.customer", customer_bytes(few, seed), "bytes a customer", f"customers, {between}")
-    yield Slope(f"{name}.bucket", bucket_bytes(few, seed), "bytes a customer", f"buckets at home, {between}")
-    yield Slope(f"{name}.given", given_bytes(few, seed), "bytes an answer", f"answers known again, {between}")
-    how = f"sent, no connections, {HAND} to {GROWTH * HAND:,}"
-    request = asyncio.run(request_bytes(HAND, seed))
-    yield Slope(f"{name}.request", request, "bytes a request", how)
-    how = f"servers kept aside, {KEPT} to {GROWTH * KEPT:,}"
-    yield Slope(f"{name}.departed", departed_bytes(KEPT, seed), "bytes a server", how)
-    head, entry = message_bytes()
+def memory_slopes(small: bool, seed: int) -> Iterator[Slope]:
+    """Measure the slopes of memory and of message sizes."""
+    count, prefix = ENTRY_COUNTS[small], "gateway.memory"
+    sizes = f"{count:,} to {GROWTH_FACTOR * count:,}"
+    yield Slope(f"{prefix}.server", server_bytes(count, seed), "bytes a server", f"module, {sizes}")
+    pool = asyncio.run(pool_bytes(count, seed))
+    yield Slope(f"{prefix}.pool", pool, "bytes a server", f"pool without connections, {sizes}")
+    yield Slope(f"{prefix}.customer", customer_bytes(count, seed), "bytes a customer", f"customers, {sizes}")
+    yield Slope(
+        f"{prefix}.bucket", bucket_bytes(count, seed), "bytes a customer", f"buckets at their owner, {sizes}"
+    )
+    yield Slope(
+        f"{prefix}.given",
+        quota_answer_bytes(count, seed),
+        "bytes an answer",
+        f"quota answers kept, {sizes}",
+    )
+    description = f"sent, no connections, {PENDING_REQUESTS} to {GROWTH_FACTOR * PENDING_REQUESTS:,}"
+    request = asyncio.run(request_bytes(PENDING_REQUESTS, seed))
+    yield Slope(f"{prefix}.request", request, "bytes a request", description)
+    description = f"delisted servers, {DELISTED_SERVERS} to {GROWTH_FACTOR * DELISTED_SERVERS:,}"
+    yield Slope(f"{prefix}.departed", delisted_bytes(DELISTED_SERVERS, seed), "bytes a server", description)
+    empty, entry = message_bytes()
     yield Slope("message.bytes.entry", entry, "bytes an entry", f"0 to {QuotaCodec.MAX_ENTRIES} entries")
-    yield Slope("message.bytes.head", head, "bytes a message", "without an entry")
+    yield Slope("message.bytes.head", empty, "bytes a message", "without an entry")
 
 
 def measure(small: bool, seed: int) -> Iterator[Slope]:
-    """What one more entry of each kind of state costs a gateway."""
-    yield from byte_slopes(small, seed)
+    """Measure what one more entry of each kind of state costs a gateway."""
+    yield from memory_slopes(small, seed)
     yield from processor_slopes(small, seed)
--- a/thymehinge/emulator/fleet.py
+++ b/thymehinge/emulator/fleet.py
@@ -1,4 +1,4 @@
-"""A hollow fleet: instances of the real decision module among stand-ins, on one simulated clock."""
+"""A simulated fleet: instances of the real decision module with simulated traffic, network and servers."""
 
 from __future__ import annotations
 
@@ -9,16 +9,17 @@
 from thymehinge import interface as api
 from thymehinge.decisions import Gateway, QuotaCodec
 from thymehinge.emulator.clock import Clock
-from thymehinge.emulator.customers import FOR_EACH_GATEWAY, Customers, plans
-from thymehinge.emulator.discovery import Discovery, Layout, Rates
-from thymehinge.emulator.network import LOSS, Network, Traffic
-from thymehinge.emulator.servers import Attempt, Kind, TableServer
+from thymehinge.emulator.customers import CUSTOMERS_PER_GATEWAY, Customers, make_plans
+from thymehinge.emulator.discovery import Discovery, EventRates, Layout
+from thymehinge.emulator.network import LOSS_RATE, Network, TrafficCounters
+from thymehinge.emulator.servers import Attempt, ServerSpec, TableServer
 from thymehinge.interface import Idempotency, LifecycleState, Result
 
-INTAKE = 60.0  # datagrams/s that a gateway takes in
-WIRE = 0.001  # s one way between a gateway and a table server
-WORK, WORK_SHAPE = 0.02, 2.0  # s of a core for a mean request, and the shape of its gamma distribution
-LOAD = 0.5  # of the table servers' capacity, where their number follows the traffic
+RECEIVE_LIMIT = 60.0  # datagrams/s that a gateway accepts from its peers
+NETWORK_DELAY = 0.001  # seconds, one way between a gateway and a table server
+MEAN_SERVICE_TIME = 0.02  # seconds of one core
+SERVICE_TIME_SHAPE = 2.0  # of the gamma distribution of service times
+TARGET_UTILIZATION = 0.5  # of the table servers, if their number follows the traffic
 CLASSES = (
     api.RequestClass("table-view", latency_target=0.3, timeout=1.0, idempotency=Idempotency.SAFE),
     api.RequestClass(
@@ -30,188 +31,232 @@
         dedup_window=5.0,
     ),
 )
-VIEWS = 0.7  # of the requests are of the first class
-ANSWERS = QuotaCodec.GRANT, QuotaCodec.GRANT_EXCESS, QuotaCodec.DENY, QuotaCodec.QUEUED
+VIEW_SHARE = 0.7  # of the requests, which are of the first class
+ANSWER_KINDS = (
+    QuotaCodec.GRANT,
+    QuotaCodec.GRANT_EXCESS,
+    QuotaCodec.DENY,
+    QuotaCodec.QUEUED,
+)  # entries that answer a quota request
 
 
 @dataclass(frozen=True, slots=True)
-class Shape:
-    """How large a fleet is, and what it has to do."""
+class FleetSpec:
+    """Size and load of a fleet."""
 
     gateways: int
-    rate: float  # requests/s at a gateway
+    request_rate: float  # requests/s at a gateway
     servers: int = 0  # table servers; 0: as many as the traffic needs
-    customers: int = FOR_EACH_GATEWAY  # for each gateway
+    customers_per_gateway: int = CUSTOMERS_PER_GATEWAY
     regions: int = 3
-    peers: bool = True
-    intake: float = INTAKE
-    loss: float = LOSS
-    rates: Rates = field(default_factory=Rates)
+    peers_enabled: bool = True
+    receive_limit: float = RECEIVE_LIMIT
+    loss_rate: float = LOSS_RATE
+    event_rates: EventRates = field(default_factory=EventRates)
 
     def __post_init__(self) -> None:
-        if self.servers < 0 or self.regions < 1 or not 0 <= self.intake < math.inf:
-            raise ValueError(f"{self} is no fleet: servers and intake are 0 or more, regions 1 or more")
+        """Raise ValueError for an impossible size."""
+        if self.servers < 0 or self.regions < 1 or not 0 <= self.receive_limit < math.inf:
+            raise ValueError(
+                f"invalid fleet {self}: servers and receive_limit must be 0 or more, regions 1 or more"
+            )
 
-    def listed(self) -> int:
-        """The table servers in all."""
-        cores = self.gateways * self.rate * WORK / LOAD
-        return self.servers or max(2, math.ceil(cores / Kind().cores))
+    def server_count(self) -> int:
+        """Return the number of table servers."""
+        cores = self.gateways * self.request_rate * MEAN_SERVICE_TIME / TARGET_UTILIZATION
+        return self.servers or max(2, math.ceil(cores / ServerSpec().cores))
 
 
 class Fleet:
-    """Joins gateways, their traffic, network, discovery and table servers; counts from `count` on."""
-
-    def __init__(self, shape: Shape, seed: int) -> None:
-        self.shape, self.clock, self.kind = shape, Clock(seed), Kind()
-        self.customers = Customers(self.clock, shape.gateways, shape.rate, shape.customers)
-        size, places = range(shape.gateways), [i % shape.regions for i in range(shape.gateways)]
-        self.settings = [self.settings_of(i, f"r{places[i]}z0") for i in size]
-        self.gateways = [self.gateway(i) for i in size]
-        self.lives = [0] * shape.gateways
-        self.attempts: list[dict[int, list[Attempt]]] = [{} for _ in size]  # by request, while in hand
-        self.work: dict[int, float] = {}  # s of a core that each request in hand takes
-        self.owner: dict[int, int] = {}  # its customer, until its units are used
-        self.serial = 0
-        self.network = Network(self.clock, places, shape.intake, self.deliver, shape.loss)
+    """Connects gateways with their traffic, network, discovery and table servers.
+
+    Counters cover the time since the start or the last reset_counters().
+    """
+
+    def __init__(self, spec: FleetSpec, seed: int) -> None:
+        self.spec, self.clock, self.server_spec = spec, Clock(seed), ServerSpec()
+        self.customers = Customers(self.clock, spec.gateways, spec.request_rate, spec.customers_per_gateway)
+        indexes, regions = range(spec.gateways), [i % spec.regions for i in range(spec.gateways)]
+        self.settings = [self.make_settings(i, f"r{regions[i]}z0") for i in indexes]
+        self.gateways = [self.make_gateway(i) for i in indexes]
+        self.incarnations = [0] * spec.gateways
+        self.attempts: list[dict[int, list[Attempt]]] = [{} for _ in indexes]  # by gateway and request
+        self.service_times: dict[int, float] = {}  # by request, seconds of one core
+        self.uncharged: dict[int, int] = {}  # by request: the customer, until the request is metered
+        self.last_request = 0
+        self.network = Network(self.clock, regions, spec.receive_limit, self.deliver_message, spec.loss_rate)
         self.servers: dict[str, TableServer] = {}
-        self.count()
-        layout = Layout(shape.listed(), shape.regions)
-        self.discovery = Discovery(self.clock, layout, shape.rates, shape.gateways, self.listing, self.change)
-        for i in size:
-            self.discovery.send_list(i)
-        if self.customers.total > 0:
-            self.next_arrival()
-
-    def settings_of(self, i: int, zone: str) -> api.Settings:
-        s, k = self.shape, self.kind
+        self.reset_counters()
+        layout = Layout(spec.server_count(), spec.regions)
+        self.discovery = Discovery(
+            self.clock, layout, spec.event_rates, spec.gateways, self.deliver_list, self.on_server_change
+        )
+        for i in indexes:
+            self.discovery.send_snapshot(i)
+        if self.customers.total_rate > 0:
+            self.schedule_arrival()
+
+    def make_settings(self, index: int, zone: str) -> api.Settings:
+        spec, server_spec = self.spec, self.server_spec
         return api.Settings(
             CLASSES,
-            plans(),
-            i,
-            s.gateways,
+            make_plans(),
+            index,
+            spec.gateways,
             zone,
-            peers_enabled=s.peers,
-            peer_messages_per_s=s.intake,
-            slow_start_capacity=k.cold_share,
-            slow_start_duration=k.cold_time,
+            peers_enabled=spec.peers_enabled,
+            peer_messages_per_s=spec.receive_limit,
+            slow_start_capacity=server_spec.slow_start_capacity,
+            slow_start_duration=server_spec.slow_start_duration,
             overload_multiple=2.0,
             overload_window=2.0,
         )
 
-    def gateway(self, i: int) -> Gateway:
-        return Gateway(self.settings[i], int(self.clock.rng.integers(2**32)), self.clock.now)
+    def make_gateway(self, index: int) -> Gateway:
+        return Gateway(self.settings[index], int(self.clock.rng.integers(2**32)), self.clock.now)
 
     def run(self, seconds: float) -> None:
         self.clock.run(seconds)
 
-    def count(self) -> None:
-        """Begin to count anew."""
-        self.requests, self.began = 0, self.clock.now
-        self.entries: Counter[int] = Counter()  # sent to peers, by kind
-        self.answers = 0  # entries delivered that answer an ask
-        self.network.traffic = Traffic()
-        self.met: list[set[str]] = [set() for _ in self.gateways]  # table servers that each sent to
+    def reset_counters(self) -> None:
+        self.request_count, self.counting_since = 0, self.clock.now
+        self.entries_sent: Counter[int] = Counter()  # to peers, by kind
+        self.answers_delivered = 0  # entries that answer a quota request
+        self.network.traffic = TrafficCounters()
+        self.contacted_servers: list[set[str]] = [set() for _ in self.gateways]  # by gateway
         for server in self.servers.values():
-            server.gateways.clear()
+            server.client_gateways.clear()
         for meter in self.customers.meters:
-            meter.used = meter.beyond = 0.0
+            meter.used = meter.over_quota = 0.0
 
-    def restart(self) -> None:
-        """All gateways end at once and begin anew with the whole list; what they had in hand is lost."""
+    def restart_gateways(self) -> None:
+        """Restart all gateways at once, with a snapshot of the server list; requests in flight are lost."""
         for i in range(len(self.gateways)):
-            self.lives[i] += 1
-            self.gateways[i], self.attempts[i] = self.gateway(i), {}
-            self.discovery.send_list(i)
+            self.incarnations[i] += 1
+            self.gateways[i], self.attempts[i] = self.make_gateway(i), {}
+            self.discovery.send_snapshot(i)
 
     # Requests.
 
-    def next_arrival(self) -> None:
-        gap, who, gateway = self.customers.draw()
-        self.clock.after(gap, self.arrive, who, gateway)
+    def schedule_arrival(self) -> None:
+        delay, customer, gateway = self.customers.draw_arrival()
+        self.clock.call_later(delay, self.generate_request, customer, gateway)
 
-    def arrive(self, who: int, gateway: int) -> None:
-        self.next_arrival()
-        self.serial += 1
-        self.requests += 1
+    def generate_request(self, customer: int, gateway: int) -> None:
+        """Deliver a customer's new request to a gateway, and schedule the next arrival."""
+        self.schedule_arrival()
+        self.last_request += 1
+        self.request_count += 1
         rng, customers = self.clock.rng, self.customers
-        cls = CLASSES[rng.random() >= VIEWS]
-        self.work[self.serial], self.owner[self.serial] = WORK * rng.gamma(WORK_SHAPE, 1 / WORK_SHAPE), who
-        self.attempts[gateway][self.serial] = []
-        plan, spread, first = customers.plans[who].name, customers.spread[who], customers.first[who]
+        request_class = CLASSES[rng.random() >= VIEW_SHARE]
+        self.service_times[self.last_request], self.uncharged[self.last_request] = (
+            MEAN_SERVICE_TIME * rng.gamma(SERVICE_TIME_SHAPE, 1 / SERVICE_TIME_SHAPE),
+            customer,
+        )
+        self.attempts[gateway][self.last_request] = []
+        plan, spread, first_gateway = (
+            customers.plans[customer].name,
+            customers.spread[customer],
+            customers.first_gateway[customer],
+        )
         request = api.Request(
-            self.serial, cls.timeout, cls.name, plan, who, spread=spread, first_gateway=first
+            self.last_request,
+            request_class.timeout,
+            request_class.name,
+            plan,
+            customer,
+            spread=spread,
+            first_gateway=first_gateway,
         )
-        self.give(gateway, self.lives[gateway], request)
-        self.clock.after(cls.timeout + 1.0, self.forget, gateway, self.serial)
+        self.deliver(gateway, self.incarnations[gateway], request)
+        self.clock.call_later(request_class.timeout + 1.0, self.discard_request, gateway, self.last_request)
 
-    def forget(self, gateway: int, request: int) -> None:
-        """Long over by now, whatever became of it."""
+    def discard_request(self, gateway: int, request: int) -> None:
+        """Drop the state of a request that has passed its deadline."""
         self.attempts[gateway].pop(request, None)
-        self.work.pop(request, None)
-        self.owner.pop(request, None)
+        self.service_times.pop(request, None)
+        self.uncharged.pop(request, None)
 
-    def give(self, i: int, life: int, event: api.Event) -> None:
-        """One event for one life of a gateway; then do what it asks for."""
-        if life != self.lives[i]:
+    def deliver(self, index: int, incarnation: int, event: api.Event) -> None:
+        """Pass an event to a gateway, unless it has restarted since, and carry out the actions it returns."""
+        if incarnation != self.incarnations[index]:
             return
-        for action in self.gateways[i].handle(self.clock.now, event):
+        for action in self.gateways[index].handle(self.clock.now, event):
             match action:
                 case api.SetTimer():
-                    due = api.TimerDue(action.tag)
-                    self.clock.after(action.due_at - self.clock.now, self.give, i, life, due)
+                    timer_due = api.TimerDue(action.tag)
+                    self.clock.call_later(
+                        action.due_at - self.clock.now, self.deliver, index, incarnation, timer_due
+                    )
                 case api.Send():
-                    self.send(i, life, action)
+                    self.send_attempt(index, incarnation, action)
                 case api.SendToPeer():
-                    self.tell(i, action)
+                    self.send_to_peers(index, action)
                 case api.Cancel():
-                    self.end(self.attempts[i][action.request_id][action.attempt], Result.CANCELLED)
-
-    def send(self, i: int, life: int, action: api.Send) -> None:
-        """An attempt goes out; the first of a request uses units of its customer."""
-        tries, request, now = self.attempts[i][action.request_id], action.request_id, self.clock.now
-        attempt = Attempt(i, life, request, len(tries), action.server, self.work[request], now)
-        tries.append(attempt)
-        if (who := self.owner.pop(request, None)) is not None:
-            self.customers.meters[who].use(now, 1.0)
-        self.met[i].add(action.server)
-        self.clock.after(WIRE, self.servers[action.server].reach, attempt)
-        self.clock.after(action.deadline - now, self.end, attempt, Result.TIMEOUT)
-
-    def answer(self, attempt: Attempt, result: Result) -> None:
-        """A table server's answer, with a report on its load."""
-        self.clock.after(WIRE, self.end, attempt, result, self.servers[attempt.server].report())
-
-    def end(self, attempt: Attempt, result: Result, report: dict[str, float] | None = None) -> None:
-        """The attempt's outcome, once."""
-        if attempt.over:
+                    self.finish_attempt(
+                        self.attempts[index][action.request_id][action.attempt], Result.CANCELLED
+                    )
+
+    def send_attempt(self, index: int, incarnation: int, action: api.Send) -> None:
+        """Send an attempt to a table server; the first attempt of a request is metered."""
+        attempts, request, now = self.attempts[index][action.request_id], action.request_id, self.clock.now
+        attempt = Attempt(
+            index, incarnation, request, len(attempts), action.server, self.service_times[request], now
+        )
+        attempts.append(attempt)
+        if (customer := self.uncharged.pop(request, None)) is not None:
+            self.customers.meters[customer].record(now, 1.0)
+        self.contacted_servers[index].add(action.server)
+        self.clock.call_later(NETWORK_DELAY, self.servers[action.server].receive, attempt)
+        self.clock.call_later(action.deadline - now, self.finish_attempt, attempt, Result.TIMEOUT)
+
+    def on_server_answer(self, attempt: Attempt, result: Result) -> None:
+        """Send a table server's answer, with its load report, back to the gateway."""
+        self.clock.call_later(
+            NETWORK_DELAY, self.finish_attempt, attempt, result, self.servers[attempt.server].load_report()
+        )
+
+    def finish_attempt(
+        self, attempt: Attempt, result: Result, load_report: dict[str, float] | None = None
+    ) -> None:
+        """Report an attempt's outcome to its gateway, unless it is finished already."""
+        if attempt.finished:
             return
-        attempt.over, final = True, result in (Result.OK, Result.CANCELLED)
-        elapsed = self.clock.now - attempt.sent
+        attempt.finished, final = True, result in (Result.OK, Result.CANCELLED)
+        elapsed = self.clock.now - attempt.sent_at
         outcome = api.Outcome(
-            attempt.request, attempt.number, attempt.server, result, elapsed, final, load_report=report or {}
+            attempt.request,
+            attempt.index,
+            attempt.server,
+            result,
+            elapsed,
+            final,
+            load_report=load_report or {},
         )
-        self.clock.after(0.0, self.give, attempt.gateway, attempt.life, outcome)
+        self.clock.call_later(0.0, self.deliver, attempt.gateway, attempt.incarnation, outcome)
 
     # Peers and discovery.
 
-    def tell(self, i: int, action: api.SendToPeer) -> None:
-        note = QuotaCodec.decode(action.body)
-        everyone = [j for j in range(len(self.gateways)) if j != i]
-        for to in everyone if action.peer is None else [action.peer]:
-            self.entries.update(entry[0] for entry in (note[1] if note else ()))
-            self.network.send(i, to, action.body)
+    def send_to_peers(self, index: int, action: api.SendToPeer) -> None:
+        """Send a message to one peer, or to all if the action names none."""
+        message = QuotaCodec.decode(action.body)
+        peers = [i for i in range(len(self.gateways)) if i != index]
+        for receiver in peers if action.peer is None else [action.peer]:
+            self.entries_sent.update(entry[0] for entry in (message[1] if message else ()))
+            self.network.send(index, receiver, action.body)
 
-    def deliver(self, to: int, sender: int, body: bytes) -> None:
-        note = QuotaCodec.decode(body)
-        self.answers += sum(entry[0] in ANSWERS for entry in (note[1] if note else ()))
-        self.give(to, self.lives[to], api.PeerMessage(sender, body))
+    def deliver_message(self, receiver: int, sender: int, body: bytes) -> None:
+        """Pass a peer's message to a gateway."""
+        message = QuotaCodec.decode(body)
+        self.answers_delivered += sum(entry[0] in ANSWER_KINDS for entry in (message[1] if message else ()))
+        self.deliver(receiver, self.incarnations[receiver], api.PeerMessage(sender, body))
 
-    def listing(self, i: int, event: api.ServerList) -> None:
-        self.give(i, self.lives[i], event)
+    def deliver_list(self, index: int, event: api.ServerList) -> None:
+        self.deliver(index, self.incarnations[index], event)
 
-    def change(self, entry: api.Server) -> None:
-        """A table server starts, drains or stops."""
+    def on_server_change(self, entry: api.Server) -> None:
+        """Start, drain or stop a table server."""
         if entry.state is LifecycleState.RUNNING:
-            self.servers[entry.name] = TableServer(self.clock, entry, self.kind, self.answer)
+            self.servers[entry.name] = TableServer(self.clock, entry, self.server_spec, self.on_server_answer)
         else:
             self.servers[entry.name].state = entry.state
--- a/thymehinge/emulator/gateway_process.py
+++ b/thymehinge/emulator/gateway_process.py
@@ -1,4 +1,4 @@
-"""A real gateway as a process: its start, what the kernel tells of it, and its end; and a prober of it."""
+"""A gateway as a process of its own: start, resource usage and stop, and a prober of its latency."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 ROOT = Path(__file__).parents[2]
 HOST = "127.0.0.1"
 PING, PONG = b"*1\r\n$4\r\nPING\r\n", b"+PONG\r\n"
-LOOK = 0.002  # s between looks whether it is ready: short against a start
-READY_MOST = 60.0  # s for a start, with a list of hundreds of thousands on a busy machine
-ANSWER_MOST = 30.0  # s that a PING may wait before the gateway counts as hung
-STOP_MOST = 10.0  # s from SIGTERM to SIGKILL: a drain takes as long as the longest deadline
-LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}  # the most on the operators' days
-SETTINGS: dict[str, Any] = {
+READY_POLL_INTERVAL = 0.002  # seconds
+READY_TIMEOUT = 60.0  # seconds, for a list of hundreds of thousands of servers on a busy machine
+PING_TIMEOUT = 30.0  # seconds without an answer until the gateway counts as hung
+STOP_TIMEOUT = 10.0  # seconds from SIGTERM to SIGKILL; a drain takes up to the longest deadline
+DEFAULT_LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
+DEFAULT_SETTINGS: dict[str, Any] = {
     "balancers": 1,
     "slot_no": 0,
     "zone": "a",
@@ -38,11 +38,14 @@
 
 
 class GatewayError(Exception):
-    """A gateway that did not start or no longer answers; the text tells what it logged last."""
+    """A gateway process failed to start, ended, stopped responding or did not apply its server list."""
 
 
-def resident(pid: int, field: str = "VmRSS") -> int:
-    """Bytes of a process's memory from /proc/PID/status: VmRSS now, VmHWM at the most so far."""
+def process_memory(pid: int, field: str = "VmRSS") -> int:
+    """Return a process's memory in bytes from /proc/PID/status: VmRSS is current, VmHWM is the peak.
+
+    Raises GatewayError if the process has ended.
+    """
     found = re.search(rf"^{field}:\s*(\d+) kB$", Path(f"/proc/{pid}/status").read_text(), re.MULTILINE)
     if found is None:
         raise GatewayError(f"process {pid} has no {field}: it has ended")
@@ -50,14 +53,17 @@
 
 
 class GatewayProcess:
-    """A gateway of this checkout, on a port that the system chose, as long as its `with` block lasts."""
+    """A gateway of this checkout on a free port, running within a `with` block.
+
+    `known` is a list of servers, in the format of discovery, that the gateway starts with.
+    """
 
     def __init__(
         self,
         discovery: str,
         *,
-        settings: dict[str, Any] = SETTINGS,
-        limits: dict[str, Any] = LIMITS,
+        settings: dict[str, Any] = DEFAULT_SETTINGS,
+        limits: dict[str, Any] = DEFAULT_LIMITS,
         known: dict[str, Any] | None = None,
     ) -> None:
         self.config = {"name": "n0", "discovery": discovery, "seed": "1", "limits": limits, "known": known}
@@ -65,137 +71,141 @@
         self.process: subprocess.Popen[bytes] | None = None
 
     def __enter__(self) -> GatewayProcess:
-        self.folder = tempfile.TemporaryDirectory(prefix="gateway-")
-        self.held = socket.socket()  # never listens: keeps the port from others until the gateway has it
+        self.directory = tempfile.TemporaryDirectory(prefix="gateway-")
+        self.port_holder = socket.socket()  # bound, never listens: reserves the port until the gateway has it
         try:
-            self.start(Path(self.folder.name))
+            self.start(Path(self.directory.name))
         except BaseException:
             self.__exit__()
             raise
         return self
 
-    def start(self, folder: Path) -> None:
-        self.held.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        self.held.bind((HOST, 0))
-        self.address: tuple[str, int] = self.held.getsockname()
-        path, self.log_path = folder / "config.json", folder / "log"
-        path.write_text(json.dumps(self.config | {"listen": "{}:{}".format(*self.address)}))
+    def start(self, directory: Path) -> None:
+        self.port_holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        self.port_holder.bind((HOST, 0))
+        self.address: tuple[str, int] = self.port_holder.getsockname()
+        config_path, self.log_path = directory / "config.json", directory / "log"
+        config_path.write_text(json.dumps(self.config | {"listen": "{}:{}".format(*self.address)}))
         environ = {k: v for k, v in os.environ.items() if not k.startswith("EDGE_")}
-        environ |= {"EDGE_CONFIG": str(path), "PYTHONPATH": str(ROOT)}
+        environ |= {"EDGE_CONFIG": str(config_path), "PYTHONPATH": str(ROOT)}
         with self.log_path.open("wb") as log:
-            self.started = time.monotonic()
+            self.started_at = time.monotonic()
             self.process = subprocess.Popen(
                 [sys.executable, "-m", "thymehinge"], cwd=ROOT, env=environ, stdout=log, stderr=log
             )
         self.pid = self.process.pid
 
     def __exit__(self, *_: object) -> None:
-        """Stop it, by SIGTERM first, and remove its files."""
+        """Stop the process, by SIGTERM and then SIGKILL, and remove its files."""
         try:
             if self.process is not None:
                 self.process.send_signal(signal.SIGTERM)
-                self.process.wait(STOP_MOST)
+                self.process.wait(STOP_TIMEOUT)
         except subprocess.TimeoutExpired:
             pass
         finally:
             if self.process is not None:
                 self.process.kill()
                 self.process.wait()
-            self.held.close()
-            self.folder.cleanup()
+            self.port_holder.close()
+            self.directory.cleanup()
+
+    def wait_ready(self) -> float:
+        """Wait until the gateway answers +PONG; return the seconds since the process was started.
 
-    def ready(self) -> float:
-        """Wait for +PONG; s since the process was started."""
-        while time.monotonic() < self.started + READY_MOST:
+        Raises GatewayError if the process ends, or is not ready within READY_TIMEOUT.
+        """
+        while time.monotonic() < self.started_at + READY_TIMEOUT:
             if self.process.poll() is not None:
-                raise GatewayError(f"the gateway ended with {self.process.returncode}: {self.last_log()}")
+                raise GatewayError(f"gateway exited with {self.process.returncode}: {self.last_log_line()}")
             try:
                 with self.connect() as client:
                     if ping(client) == PONG:
-                        return time.monotonic() - self.started
+                        return time.monotonic() - self.started_at
             except ConnectionError:
                 pass
-            time.sleep(LOOK)
-        raise GatewayError(f"not ready after {READY_MOST:g} s: {self.last_log()}")
+            time.sleep(READY_POLL_INTERVAL)
+        raise GatewayError(f"gateway not ready after {READY_TIMEOUT:g} s: {self.last_log_line()}")
 
     def connect(self) -> socket.socket:
-        """A client's connection."""
-        return socket.create_connection(self.address, ANSWER_MOST)
+        """Open a client connection."""
+        return socket.create_connection(self.address, PING_TIMEOUT)
 
-    def log(self) -> str:
+    def read_log(self) -> str:
         return self.log_path.read_text(encoding="utf-8", errors="replace")
 
-    def last_log(self) -> str:
-        return (self.log().splitlines() or ["it logged nothing"])[-1]
+    def last_log_line(self) -> str:
+        return (self.read_log().splitlines() or ["nothing was logged"])[-1]
 
-    def failures(self) -> list[str]:
-        """What it has logged of calls to discovery that failed, a line each."""
-        return [line for line in self.log().splitlines() if "WARNING discovery:" in line]
+    def discovery_warnings(self) -> list[str]:
+        """Return the log lines about failed calls to discovery."""
+        return [line for line in self.read_log().splitlines() if "WARNING discovery:" in line]
 
     def rss(self) -> int:
-        """Bytes of memory now."""
-        return resident(self.pid)
+        """Return the resident memory in bytes."""
+        return process_memory(self.pid)
 
-    def peak(self) -> int:
-        """Bytes of memory at the most so far."""
-        return resident(self.pid, "VmHWM")
+    def peak_rss(self) -> int:
+        """Return the peak resident memory in bytes."""
+        return process_memory(self.pid, "VmHWM")
 
-    def cpu(self) -> float:
-        """s of processor time so far, by the clock that clock_getcpuclockid(3) names.
+    def cpu_time(self) -> float:
+        """Return the processor time used so far, in seconds.
 
-        It is that of /proc/PID/stat, which counts in hundredths of a second, to the nanosecond.
+        Reads the process's CPU clock, see clock_getcpuclockid(3): /proc/PID/stat counts in steps of 10 ms.
         """
         return time.clock_gettime((~self.pid << 3) | 2)
 
-    def descriptors(self) -> int:
-        """File descriptors that are open now."""
+    def descriptor_count(self) -> int:
+        """Return the number of open file descriptors."""
         return len(os.listdir(f"/proc/{self.pid}/fd"))
 
 
-def ping(client: socket.socket, times: int = 1) -> bytes:
-    """So many PINGs in one write; their answers."""
-    client.sendall(PING * times)
+def ping(client: socket.socket, count: int = 1) -> bytes:
+    """Send `count` PINGs in one write and return the answers; raise ConnectionError if it is closed."""
+    client.sendall(PING * count)
     answers = b""
-    while answers.count(b"\r\n") < times:
-        piece = client.recv(4096)
-        if not piece:
-            raise ConnectionError("closed in the middle of a PING")
-        answers += piece
+    while answers.count(b"\r\n") < count:
+        data = client.recv(4096)
+        if not data:
+            raise ConnectionError("connection closed before all PINGs were answered")
+        answers += data
     return answers
 
 
 class Prober:
-    """Sends a PING each `PERIOD` on one connection and records how long each waits for its answer.
+    """Sends PINGs at a fixed interval on one connection and records their latencies.
 
-    A PING that waits for longer keeps those after it from being sent; the histogram counts them as if they
-    had waited for what was left (coordinated omission).
+    A slow answer delays the PINGs after it. The histogram corrects for this coordinated omission and counts
+    them with the latency that they would have had.
     """
 
-    PERIOD = 0.004  # s between PINGs
-    RENEW = 1.5  # s after which it connects anew: who only sends PING is closed after 2 s
-    UNIT = 1e-6  # s a count of the histogram
+    PING_INTERVAL = 0.004  # seconds
+    RECONNECT_INTERVAL = 1.5  # seconds; a gateway closes connections that only send PING after 2 s
+    RESOLUTION = 1e-6  # seconds, of the histogram
 
     def __init__(self, gateway: GatewayProcess) -> None:
         self.gateway = gateway
-        self.waits = HdrHistogram(1, int(2 * ANSWER_MOST / self.UNIT), 3)
+        self.latencies = HdrHistogram(1, int(2 * PING_TIMEOUT / self.RESOLUTION), 3)
 
     def run(self, seconds: float) -> None:
-        """Probe for so long, and until the answer to the last PING."""
+        """Send PINGs for so long, and wait for the last answer."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             with self.gateway.connect() as client:
                 client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-                self.probe(client, min(end, time.monotonic() + self.RENEW))
+                self.probe(client, min(end, time.monotonic() + self.RECONNECT_INTERVAL))
 
     def probe(self, client: socket.socket, end: float) -> None:
-        while (sent := time.monotonic()) < end:
+        """Send PINGs on one connection until `end`; raise GatewayError if an answer is not +PONG."""
+        while (sent_at := time.monotonic()) < end:
             if ping(client) != PONG:
-                raise GatewayError(f"no longer ready: {self.gateway.last_log()}")
-            wait = time.monotonic() - sent
-            counts = max(1, round(wait / self.UNIT))
-            self.waits.record_corrected_value(counts, round(self.PERIOD / self.UNIT))
-            time.sleep(max(0.0, self.PERIOD - wait))
-
-    def percentile(self, share: float) -> float:
-        """ms that this share (percent) of PINGs waited at most."""
-        return self.waits.get_value_at_percentile(share) * self.UNIT * 1000
+                raise GatewayError(f"gateway is no longer ready: {self.gateway.last_log_line()}")
+            latency = time.monotonic() - sent_at
+            counts = max(1, round(latency / self.RESOLUTION))
+            self.latencies.record_corrected_value(counts, round(self.PING_INTERVAL / self.RESOLUTION))
+            time.sleep(max(0.0, self.PING_INTERVAL - latency))
+
+    def percentile(self, percent: float) -> float:
+        """Return a percentile of the latencies, in ms."""
+        return self.latencies.get_value_at_percentile(percent) * self.RESOLUTION * 1000
--- a/thymehinge/emulator/hollow.py
+++ b/thymehinge/emulator/hollow.py
@@ -1,4 +1,4 @@
-"""Slopes of hollow fleets: what a gateway sends, hears, holds and is told, in counts and bytes."""
+"""Slopes of simulated fleets: peer messages, customer state, contacted servers and discovery traffic."""
 
 from __future__ import annotations
 
@@ -6,175 +6,227 @@
 from dataclasses import dataclass
 
 from thymehinge.decisions import PEER_INTAKE_FRACTION, QuotaCodec
-from thymehinge.emulator.fleet import INTAKE, Fleet, Shape
+from thymehinge.emulator.fleet import RECEIVE_LIMIT, Fleet, FleetSpec
 from thymehinge.emulator.slopes import Slope
 
-RATE = 10.0  # requests/s at a gateway, where nothing else is said
-FAST = 50.0, 200.0  # requests/s at a gateway, to hold what it sends against its bound
-BOUND = PEER_INTAKE_FRACTION * INTAKE  # datagrams/s that a gateway's pace allows it
-SETTLE = 3.0  # s before counting begins: gateways learn latencies and meet their customers
-CROWD = 500  # customers for each gateway, to see how many of them it keeps: most are seldom there
-FORGOTTEN = 25.0  # s after which a gateway has forgotten a customer that stays away
-ZONE_AWAY = 15.0  # s within which a lost zone is noticed, gone and back
+REQUEST_RATE = 10.0  # requests/s at a gateway, default
+HIGH_REQUEST_RATES = 50.0, 200.0  # requests/s at a gateway, at which the limit on peer messages takes effect
+PEER_SEND_LIMIT = PEER_INTAKE_FRACTION * RECEIVE_LIMIT  # datagrams/s that a gateway may send
+WARMUP_TIME = 3.0  # seconds before counting, in which gateways learn latencies and customers
+MANY_CUSTOMERS = 500  # for each gateway, most of them seldom active
+CUSTOMER_EXPIRY = 25.0  # seconds after which a gateway has dropped an idle customer
+ZONE_OUTAGE_WINDOW = 15.0  # seconds that cover the crash of a zone, its detection and its return
 
 
 @dataclass(frozen=True, slots=True)
 class Sizes:
-    """How large the fleets are, and how long they are looked at."""
+    """Sizes of the fleets and length of the measurements."""
 
-    fleets: tuple[int, ...]  # gateways, from the smallest up
-    fast: int  # gateways at the higher rates
-    worst: int  # gateways of the worst cases
-    lists: tuple[int, int]  # table servers in a short list and in a long one
-    seconds: float  # of each window
+    fleet_sizes: tuple[int, ...]  # gateways, in ascending order
+    high_rate_gateways: int  # at the high request rates
+    worst_case_gateways: int  # in the worst cases
+    list_sizes: tuple[int, int]  # table servers in a short and in a long list
+    window: float  # seconds of counting
 
 
-SMALL = Sizes((20, 60), 8, 20, (20, 80), 5.0)
-FULL = Sizes((25, 100, 400), 25, 60, (50, 200), 10.0)
+SMALL_SIZES = Sizes((20, 60), 8, 20, (20, 80), 5.0)
+FULL_SIZES = Sizes((25, 100, 400), 25, 60, (50, 200), 10.0)
 
 
-def counted(shape: Shape, seed: int, seconds: float, settle: float = SETTLE) -> Fleet:
-    """A fleet that has settled, and then was counted for so long."""
-    fleet = Fleet(shape, seed)
-    fleet.run(settle)
-    fleet.count()
+def run_and_count(spec: FleetSpec, seed: int, seconds: float, warmup: float = WARMUP_TIME) -> Fleet:
+    """Return a fleet that has run for a warm-up and then counted for so many seconds."""
+    fleet = Fleet(spec, seed)
+    fleet.run(warmup)
+    fleet.reset_counters()
     fleet.run(seconds)
     return fleet
 
 
-def each(total: float, of: float) -> float:
-    """A ratio, 0 where there is nothing to divide by."""
-    return total / of if of else 0.0
-
-
-def sending(sizes: Sizes, seed: int) -> Iterator[Slope]:
-    """What gateways send each other, by the fleet's size, and how uneven it comes in."""
-    found = []
-    for gateways in sizes.fleets:
-        fleet = counted(Shape(gateways, RATE), seed, sizes.seconds)
-        found.append(each(fleet.network.traffic.sent, fleet.requests))
-    least, most = sizes.fleets[0], sizes.fleets[-1]
-    traffic, how = fleet.network.traffic, f"{most} gateways, {RATE:g} requests/s each"
-    received = traffic.received
-    yield Slope("gateway.messages.request", found[-1], "peer messages a request", how)
-    yield Slope("gateway.messages.growth", each(found[-1], found[0]), "ratio", f"{most} gateways to {least}")
-    entries = each(fleet.entries.total(), traffic.sent)
-    yield Slope("gateway.entries.message", entries, "entries a message", how)
-    yield Slope("gateway.bytes.request", each(traffic.bytes, fleet.requests), "peer bytes a request", how)
-    busiest = max(received.values(), default=0)
-    yield Slope("home.asks.skew", each(busiest * most, received.total()), "ratio", f"{how}; busiest to mean")
-    yield refusals("home.messages.refused", fleet)
-    active = {key for gateway in fleet.gateways for key in gateway.quotas}
+def ratio(dividend: float, divisor: float) -> float:
+    """Divide; return 0 if the divisor is 0."""
+    return dividend / divisor if divisor else 0.0
+
+
+def peer_message_slopes(sizes: Sizes, seed: int) -> Iterator[Slope]:
+    """Peer messages and bytes per request, their growth with the fleet, and their skew over the gateways."""
+    per_request = []
+    for gateways in sizes.fleet_sizes:
+        fleet = run_and_count(FleetSpec(gateways, REQUEST_RATE), seed, sizes.window)
+        per_request.append(ratio(fleet.network.traffic.sent, fleet.request_count))
+    smallest, largest = sizes.fleet_sizes[0], sizes.fleet_sizes[-1]
+    traffic, conditions = fleet.network.traffic, f"{largest} gateways, {REQUEST_RATE:g} requests/s each"
+    received_by = traffic.received_by
+    yield Slope("gateway.messages.request", per_request[-1], "peer messages a request", conditions)
+    yield Slope(
+        "gateway.messages.growth",
+        ratio(per_request[-1], per_request[0]),
+        "ratio",
+        f"{largest} gateways to {smallest}",
+    )
+    entries = ratio(fleet.entries_sent.total(), traffic.sent)
+    yield Slope("gateway.entries.message", entries, "entries a message", conditions)
+    yield Slope(
+        "gateway.bytes.request",
+        ratio(traffic.bytes_sent, fleet.request_count),
+        "peer bytes a request",
+        conditions,
+    )
+    busiest = max(received_by.values(), default=0)
+    yield Slope(
+        "home.asks.skew",
+        ratio(busiest * largest, received_by.total()),
+        "ratio",
+        f"{conditions}; busiest to mean",
+    )
+    yield over_limit_slope("home.messages.refused", fleet)
+    active_customers = {key for gateway in fleet.gateways for key in gateway.quotas}
     buckets = sum(len(gateway.owned_quotas) for gateway in fleet.gateways)
-    yield Slope("home.buckets.customer", each(buckets, len(active)), "buckets an active customer", how)
-
-
-def refusals(name: str, fleet: Fleet) -> Slope:
-    """The share of the messages that came to a gateway and were beyond its intake."""
-    traffic, shape = fleet.network.traffic, fleet.shape
-    how = f"{shape.gateways} gateways, {shape.rate:g} requests/s each; intake {shape.intake:g}/s"
-    return Slope(name, each(traffic.refused, traffic.received.total()), "share of those received", how)
-
-
-def bounded(sizes: Sizes, seed: int) -> Iterator[Slope]:
-    """What a busy gateway sends, against the pace that the intake of its peers sets it."""
-    for rate in FAST:
-        fleet = counted(Shape(sizes.fast, rate), seed, sizes.seconds, settle=1.0)
-        sent = fleet.network.traffic.sent / sizes.fast / sizes.seconds
-        how = f"{sizes.fast} gateways, {rate:g} requests/s each; the pace is {BOUND:g}/s"
-        yield Slope(f"gateway.messages.at_{rate:g}", sent, "peer messages/s a gateway", how)
-    yield refusals(f"home.messages.refused_at_{rate:g}", fleet)
-
-
-def holding(sizes: Sizes, seed: int) -> Iterator[Slope]:
-    """What gateways keep of customers once the idle ones are forgotten."""
-    gateways = sizes.fleets[0]
-    seconds = 2 * FORGOTTEN  # as many are forgotten as come by then
-    fleet = counted(Shape(gateways, RATE, customers=CROWD), seed, seconds)
-    kept = sum(len(g.owned_quotas) + len(g.quotas) for g in fleet.gateways)
-    how = f"{gateways} gateways, {RATE:g} requests/s and {CROWD} customers each, after {seconds:g} s"
-    yield Slope("gateway.customers.request", kept / gateways / RATE, "entries a request/s", how)
-
-
-def meeting(sizes: Sizes, seed: int) -> Iterator[Slope]:
-    """How many table servers and gateways meet within a window; connections follow it."""
-    gateways, met = sizes.fleets[0], []
-    for servers in sizes.lists:
-        fleet = counted(Shape(gateways, RATE, servers), seed, sizes.seconds)
-        met.append(sum(map(len, fleet.met)) / gateways)
-    short, long = sizes.lists
-    how = f"{gateways} gateways, {RATE:g} requests/s each, {sizes.seconds:g} s, {long} table servers"
-    yield Slope("gateway.servers.met", met[1], "table servers a gateway", how)
-    yield Slope("gateway.servers.growth", met[1] / met[0], "ratio", f"list of {long} to one of {short}")
-    from_all = sum(len(server.gateways) for server in fleet.servers.values()) / long
-    yield Slope("server.gateways.met", from_all, "gateways a table server", how)
-
-
-def telling(sizes: Sizes, seed: int) -> Iterator[Slope]:
-    """What discovery tells a gateway of table servers that restart, and of a zone that is lost."""
-    servers = sizes.lists[1]
-    fleet = Fleet(Shape(5, 0.0, servers), seed)
-    told, restarts = fleet.discovery.entries, 20
+    yield Slope(
+        "home.buckets.customer",
+        ratio(buckets, len(active_customers)),
+        "buckets an active customer",
+        conditions,
+    )
+
+
+def over_limit_slope(name: str, fleet: Fleet) -> Slope:
+    """Return the share of the received peer messages that the receivers' rate limit dropped."""
+    traffic, spec = fleet.network.traffic, fleet.spec
+    conditions = (
+        f"{spec.gateways} gateways, {spec.request_rate:g} requests/s each; intake {spec.receive_limit:g}/s"
+    )
+    return Slope(
+        name,
+        ratio(traffic.over_limit, traffic.received_by.total()),
+        "share of those received",
+        conditions,
+    )
+
+
+def peer_send_rate_slopes(sizes: Sizes, seed: int) -> Iterator[Slope]:
+    """Peer messages/s of a gateway at high request rates, where PEER_SEND_LIMIT applies."""
+    for rate in HIGH_REQUEST_RATES:
+        fleet = run_and_count(FleetSpec(sizes.high_rate_gateways, rate), seed, sizes.window, warmup=1.0)
+        send_rate = fleet.network.traffic.sent / sizes.high_rate_gateways / sizes.window
+        conditions = (
+            f"{sizes.high_rate_gateways} gateways, {rate:g} requests/s each; limit {PEER_SEND_LIMIT:g}/s"
+        )
+        yield Slope(f"gateway.messages.at_{rate:g}", send_rate, "peer messages/s a gateway", conditions)
+    yield over_limit_slope(f"home.messages.refused_at_{rate:g}", fleet)
+
+
+def customer_state_slopes(sizes: Sizes, seed: int) -> Iterator[Slope]:
+    """Customers and buckets that a gateway keeps once it drops idle ones as fast as new ones come."""
+    gateways = sizes.fleet_sizes[0]
+    seconds = 2 * CUSTOMER_EXPIRY
+    fleet = run_and_count(
+        FleetSpec(gateways, REQUEST_RATE, customers_per_gateway=MANY_CUSTOMERS), seed, seconds
+    )
+    entries = sum(len(g.owned_quotas) + len(g.quotas) for g in fleet.gateways)
+    conditions = (
+        f"{gateways} gateways, {REQUEST_RATE:g} requests/s and {MANY_CUSTOMERS} customers each, "
+        f"after {seconds:g} s"
+    )
+    yield Slope(
+        "gateway.customers.request", entries / gateways / REQUEST_RATE, "entries a request/s", conditions
+    )
+
+
+def server_contact_slopes(sizes: Sizes, seed: int) -> Iterator[Slope]:
+    """Table servers that a gateway sends to within the window, and gateways that send to a server.
+
+    The number of connections follows from these.
+    """
+    gateways, contacted = sizes.fleet_sizes[0], []
+    for servers in sizes.list_sizes:
+        fleet = run_and_count(FleetSpec(gateways, REQUEST_RATE, servers), seed, sizes.window)
+        contacted.append(sum(map(len, fleet.contacted_servers)) / gateways)
+    short, long = sizes.list_sizes
+    conditions = (
+        f"{gateways} gateways, {REQUEST_RATE:g} requests/s each, {sizes.window:g} s, {long} table servers"
+    )
+    yield Slope("gateway.servers.met", contacted[1], "table servers a gateway", conditions)
+    yield Slope(
+        "gateway.servers.growth", contacted[1] / contacted[0], "ratio", f"list of {long} to one of {short}"
+    )
+    per_server = sum(len(server.client_gateways) for server in fleet.servers.values()) / long
+    yield Slope("server.gateways.met", per_server, "gateways a table server", conditions)
+
+
+def discovery_slopes(sizes: Sizes, seed: int) -> Iterator[Slope]:
+    """List entries sent to a gateway for restarted table servers, and for a crashed zone."""
+    servers = sizes.list_sizes[1]
+    fleet = Fleet(FleetSpec(5, 0.0, servers), seed)
+    entries_sent, restarts = fleet.discovery.entries_sent, 20
     fleet.run(1.0)
-    before = sum(told)
+    before = sum(entries_sent)
     for name in list(fleet.servers)[:restarts]:
         fleet.discovery.restart(name)
         fleet.run(1.0)
-    fleet.run(FORGOTTEN)
-    entries = (sum(told) - before) / 5 / restarts
+    fleet.run(CUSTOMER_EXPIRY)
+    entries = (sum(entries_sent) - before) / 5 / restarts
     yield Slope("discovery.entries.restart", entries, "entries a gateway", f"{restarts} of {servers} in turn")
     zone, worst = fleet.discovery.groups["zone"][0], 0
-    fleet.discovery.lose(zone)
-    for _ in range(int(ZONE_AWAY)):
-        before = list(told)
+    fleet.discovery.crash(zone)
+    for _ in range(int(ZONE_OUTAGE_WINDOW)):
+        before = list(entries_sent)
         fleet.run(1.0)
-        worst = max(worst, *(now - then for now, then in zip(told, before, strict=True)))
-    how = f"a gateway's worst second, zone of {len(zone)} of {servers} servers"
-    yield Slope("discovery.entries.zone", worst / len(zone), "entries a server of the zone", how)
+        worst = max(worst, *(now - then for now, then in zip(entries_sent, before, strict=True)))
+    conditions = f"a gateway's worst second, zone of {len(zone)} of {servers} servers"
+    yield Slope("discovery.entries.zone", worst / len(zone), "entries a server of the zone", conditions)
 
 
-def surge(fleet: Fleet, happens: Callable[[], None], seconds: float) -> float:
-    """Messages of the worst whole second after something happens, over those of the mean second before."""
-    began, before = int(fleet.clock.now), fleet.network.traffic.by_second
-    mean = sum(before.values()) / (fleet.clock.now - fleet.began)
-    happens()
+def peak_to_mean(fleet: Fleet, disrupt: Callable[[], None], seconds: float) -> float:
+    """Return the messages in the worst second after a disruption, relative to the mean second before it."""
+    disrupted_at, sent_before = int(fleet.clock.now), fleet.network.traffic.sent_by_second
+    mean = sum(sent_before.values()) / (fleet.clock.now - fleet.counting_since)
+    disrupt()
     fleet.run(seconds)
-    after = fleet.network.traffic.by_second
-    return each(max(after[began + i] for i in range(int(seconds))), mean)
+    sent_after = fleet.network.traffic.sent_by_second
+    return ratio(max(sent_after[disrupted_at + i] for i in range(int(seconds))), mean)
 
 
-def worst_cases(sizes: Sizes, seed: int) -> Iterator[Slope]:
-    """All gateways restarted at once; a region cut off, and back."""
-    shape, seconds = Shape(sizes.worst, RATE), sizes.seconds
-    how = f"{sizes.worst} gateways, {RATE:g} requests/s each"
-    fleet = counted(shape, seed, seconds)
-    worst = surge(fleet, fleet.restart, seconds)
-    yield Slope("restart.messages.worst", worst, "ratio", f"{how}; worst second to mean")
+def worst_case_slopes(sizes: Sizes, seed: int) -> Iterator[Slope]:
+    """Peer messages after a restart of all gateways, and the effects of the partition of one region."""
+    spec, seconds = FleetSpec(sizes.worst_case_gateways, REQUEST_RATE), sizes.window
+    conditions = f"{sizes.worst_case_gateways} gateways, {REQUEST_RATE:g} requests/s each"
+    fleet = run_and_count(spec, seed, seconds)
+    worst = peak_to_mean(fleet, fleet.restart_gateways, seconds)
+    yield Slope("restart.messages.worst", worst, "ratio", f"{conditions}; worst second to mean")
 
-    fleet = counted(shape, seed, seconds)
+    fleet = run_and_count(spec, seed, seconds)
     mean = fleet.network.traffic.sent / seconds
-    fleet.count()
-    fleet.network.cut_off.add(0)
+    fleet.reset_counters()
+    fleet.network.partitioned_regions.add(0)
     fleet.run(seconds)
-    unanswered = 1 - each(fleet.answers, fleet.entries[QuotaCodec.REQUEST])
-    beyond = share_beyond(fleet)
-    fleet.network.cut_off.clear()
+    unanswered = 1 - ratio(fleet.answers_delivered, fleet.entries_sent[QuotaCodec.REQUEST])
+    over_quota = over_quota_share(fleet)
+    fleet.network.partitioned_regions.clear()
     fleet.run(seconds)
-    busiest = max(fleet.network.traffic.by_second.values(), default=0)
-    region = f"1 region of {shape.regions} cut off for {seconds:g} s"
-    yield Slope("cut.asks.unanswered", unanswered, "share of asks, repeats too", f"{how}; {region}")
-    yield Slope("cut.messages.worst", each(busiest, mean), "ratio", f"{region}; worst second to mean before")
-    yield Slope("cut.units.beyond", beyond, "share of units sent", f"{how}; {region}")
+    busiest = max(fleet.network.traffic.sent_by_second.values(), default=0)
+    partition = f"1 region of {spec.regions} cut off for {seconds:g} s"
+    yield Slope("cut.asks.unanswered", unanswered, "share of asks, repeats too", f"{conditions}; {partition}")
+    yield Slope(
+        "cut.messages.worst", ratio(busiest, mean), "ratio", f"{partition}; worst second to mean before"
+    )
+    yield Slope("cut.units.beyond", over_quota, "share of units sent", f"{conditions}; {partition}")
 
 
-def share_beyond(fleet: Fleet) -> float:
-    """The share of the units sent that no customer's quota covered."""
+def over_quota_share(fleet: Fleet) -> float:
+    """Return the share of the units sent that exceeded the customers' quotas."""
     meters = fleet.customers.meters
-    return each(sum(m.beyond for m in meters), sum(m.used for m in meters))
+    return ratio(sum(m.over_quota for m in meters), sum(m.used for m in meters))
 
 
 def measure(small: bool, seed: int) -> Iterator[Slope]:
-    """All slopes of hollow fleets; the same seed gives the same figures."""
-    sizes = SMALL if small else FULL
-    for part in (sending, bounded, holding, meeting, telling, worst_cases):
-        yield from part(sizes, seed)
+    """Measure all slopes of simulated fleets; the same seed gives the same values."""
+    sizes = SMALL_SIZES if small else FULL_SIZES
+    for measurement in (
+        peer_message_slopes,
+        peer_send_rate_slopes,
+        customer_state_slopes,
+        server_contact_slopes,
+        discovery_slopes,
+        worst_case_slopes,
+    ):
+        yield from measurement(sizes, seed)
--- a/thymehinge/emulator/http_discovery.py
+++ b/thymehinge/emulator/http_discovery.py
@@ -1,4 +1,4 @@
-"""A stand-in for discovery over HTTP, as the protocol page tells it, in a thread of its own."""
+"""A fake discovery service that serves a synthetic server list over HTTP, in a thread of its own."""
 
 from __future__ import annotations
 
@@ -18,144 +18,159 @@
 
 HOST = "127.0.0.1"
 ZONES = ("a", "b", "c")
-NETWORK = IPv4Address("127.64.0.0")  # where table servers would be: loopback, and nobody listens there
-ADDRESSES, FIRST_PORT = 2**17, 6379  # addresses of that network; who finds none left takes the next port
-WAIT_MOST = 60_000  # ms that a watch may wait, from the protocol page
-NUMBER = re.compile(r"[0-9]{1,15}")
-PATIENCE = 30.0  # s before an order to the thread counts as lost
-SHUTDOWN = 0.1  # s that watches get at the end: nobody needs their answers any more
+NETWORK = IPv4Address("127.64.0.0")  # of the synthetic servers' addresses: loopback, where nothing listens
+ADDRESS_COUNT, FIRST_PORT = 2**17, 6379  # further servers get the same addresses with the next port
+MAX_TIMEOUT_MS = 60_000  # of a watch, by the protocol
+WHOLE_NUMBER = re.compile(r"[0-9]{1,15}")
+THREAD_CALL_TIMEOUT = 30.0  # seconds to wait for the server thread
+SHUTDOWN_TIMEOUT = 0.1  # seconds that open watches get at the end
 
 T = TypeVar("T")
 
 
 class HostTable:
-    """A list of synthetic table servers over zones, its versions and the changes between them."""
+    """A synthetic server list over several zones, with its version and the changes since an older one."""
 
     def __init__(self, servers: int, seed: int) -> None:
+        """Raise ValueError if the list would be empty."""
         if servers < 1:
-            raise ValueError(f"servers: {servers} are no list")
-        self.servers, self.random, self.number = servers, random.Random(seed), 0
-        self.version = self.oldest = 1  # oldest: the version since which changes are known
+            raise ValueError(f"servers must be at least 1, got {servers}")
+        self.target_count, self.rng, self.added_count = servers, random.Random(seed), 0
+        self.version = self.oldest_version = 1  # oldest_version: the first that changes are known since
         self.names: list[str] = []
         self.entries: dict[str, dict[str, Any]] = {}
-        self.texts: dict[str, bytes] = {}
-        self.changed: dict[str, tuple[int, bytes]] = {}  # the last change of each, oldest first
-        self.text, self.text_version = b"", 0  # the whole list as last written
+        self.encoded_entries: dict[str, bytes] = {}
+        self.changes: dict[str, tuple[int, bytes]] = {}  # last change of each server, oldest first
+        self.snapshot, self.snapshot_version = b"", 0  # cached body of the whole list
         for _ in range(servers):
-            self.add()
+            self.add_server()
 
-    def add(self) -> str:
-        """Put a new server in the list; its name."""
-        address, port = NETWORK + self.number % ADDRESSES, FIRST_PORT + self.number // ADDRESSES
-        name = f"s-{self.random.getrandbits(20):05x}{self.number:x}"
-        self.number += 1
+    def add_server(self) -> str:
+        """Add a new server to the list and return its name."""
+        address, port = (
+            NETWORK + self.added_count % ADDRESS_COUNT,
+            FIRST_PORT + self.added_count // ADDRESS_COUNT,
+        )
+        name = f"s-{self.rng.getrandbits(20):05x}{self.added_count:x}"
+        self.added_count += 1
         self.names.append(name)
         self.entries[name] = {
             "host": name,
             "dial": f"{address}:{port}",
-            "site": ZONES[self.number % len(ZONES)],
+            "site": ZONES[self.added_count % len(ZONES)],
             "class": "m2",
-            "block": self.number // 100,
+            "block": self.added_count // 100,
             "health": "Ready",
             "share": 1.0,
             "born_ms": 0,
         }
-        self.texts[name] = encode(self.entries[name])
+        self.encoded_entries[name] = encode_entry(self.entries[name])
         return name
 
-    def change(self) -> None:
-        """The next version, in which one server drains, weighs otherwise, starts anew, goes or comes."""
+    def apply_change(self) -> None:
+        """Make a new version in which one server drains, changes its weight, restarts, goes or is added."""
         self.version += 1
-        if len(self.names) < self.servers:
-            return self.note(self.add())
-        index = self.random.randrange(len(self.names))
+        if len(self.names) < self.target_count:
+            return self.record_change(self.add_server())
+        index = self.rng.randrange(len(self.names))
         name = self.names[index]
         entry = self.entries[name]
         if entry["health"] == "Ready":
-            entry |= self.random.choice(({"health": "Terminating"}, {"share": 0.5}, {"share": 2.0}))
-        elif self.random.random() < 0.5:
+            entry |= self.rng.choice(({"health": "Terminating"}, {"share": 0.5}, {"share": 2.0}))
+        elif self.rng.random() < 0.5:
             entry |= {"health": "Ready", "born_ms": int(time.time() * 1000)}
         else:
             self.names[index] = self.names[-1]
             self.names.pop()
-            del self.entries[name], self.texts[name]
-            return self.note(name, encode(entry | {"health": "Gone"}))
-        self.texts[name] = encode(entry)
-        return self.note(name)
+            del self.entries[name], self.encoded_entries[name]
+            return self.record_change(name, encode_entry(entry | {"health": "Gone"}))
+        self.encoded_entries[name] = encode_entry(entry)
+        return self.record_change(name)
 
-    def note(self, name: str, text: bytes = b"") -> None:
-        self.changed.pop(name, None)
-        self.changed[name] = self.version, text or self.texts[name]
+    def record_change(self, name: str, encoded: bytes = b"") -> None:
+        self.changes.pop(name, None)
+        self.changes[name] = self.version, encoded or self.encoded_entries[name]
 
-    def forget(self) -> None:
-        """The next version, with nothing changed and no change known: who watches gets the whole list."""
+    def discard_changes(self) -> None:
+        """Make a new version without known changes, so that watches get a snapshot."""
         self.version += 1
-        self.oldest = self.version
-        self.changed.clear()
-
-    def answer(self, since: int | None) -> tuple[bytes, int]:
-        """What a call gets, and its number of entries: changes, or the whole list where they aren't known."""
-        if since is None or not self.oldest <= since <= self.version:
-            if self.text_version != self.version:
-                self.text_version, self.text = self.version, self.body(True, list(self.texts.values()))
-            return self.text, len(self.names)
-        found: list[bytes] = []
-        for version, text in reversed(self.changed.values()):
+        self.oldest_version = self.version
+        self.changes.clear()
+
+    def response(self, since: int | None) -> tuple[bytes, int]:
+        """Return a response body and its number of entries.
+
+        The body holds the changes since that version, or the whole list if they aren't known or if `since` is
+        None.
+        """
+        if since is None or not self.oldest_version <= since <= self.version:
+            if self.snapshot_version != self.version:
+                self.snapshot_version, self.snapshot = (
+                    self.version,
+                    self.body(True, list(self.encoded_entries.values())),
+                )
+            return self.snapshot, len(self.names)
+        changed: list[bytes] = []
+        for version, encoded in reversed(self.changes.values()):
             if version <= since:
                 break
-            found.append(text)
-        return self.body(False, found[::-1]), len(found)
+            changed.append(encoded)
+        return self.body(False, changed[::-1]), len(changed)
 
-    def body(self, whole: bool, texts: list[bytes]) -> bytes:
+    def body(self, whole: bool, encoded: list[bytes]) -> bytes:
         head = b'{"seq":%d,"whole":%b,"hosts":[' % (self.version, b"true" if whole else b"false")
-        return b"%b%b]}" % (head, b",".join(texts))
+        return b"%b%b]}" % (head, b",".join(encoded))
 
 
-def encode(entry: dict[str, Any]) -> bytes:
+def encode_entry(entry: dict[str, Any]) -> bytes:
     return json.dumps(entry, separators=(",", ":")).encode()
 
 
 def read_query(query: Mapping[str, str]) -> tuple[int | None, int]:
-    """The version that a call watches from, None for the whole list, and how long (ms); or a ValueError."""
+    """Return the version that a call watches from, None for the whole list, and its timeout in ms.
+
+    Raises ValueError, with the text of the response, for an invalid query.
+    """
     if not query:
         return None, 0
     for name in ("since", "timeout_ms"):
-        if not NUMBER.fullmatch(query.get(name, "")):
+        if not WHOLE_NUMBER.fullmatch(query.get(name, "")):
             raise ValueError(f"{name}: not a whole number {query.get(name)!r}")
-    if int(query["timeout_ms"]) > WAIT_MOST:
-        raise ValueError(f"timeout_ms: more than {WAIT_MOST}")
+    if int(query["timeout_ms"]) > MAX_TIMEOUT_MS:
+        raise ValueError(f"timeout_ms: more than {MAX_TIMEOUT_MS}")
     return int(query["since"]), int(query["timeout_ms"])
 
 
 @dataclass(frozen=True, slots=True)
 class Counts:
-    """What has come and gone since the start; bytes are those of HTTP, heads included."""
+    """Calls and traffic since the start; bytes are those of HTTP, headers included."""
 
     calls: int = 0
     watches: int = 0
-    broken: int = 0  # answers that their callers did not wait for; the next two leave them out
-    entries: int = 0  # sent
-    sent: int = 0  # bytes of answers
-    received: int = 0  # bytes of calls
-    last_call: float = 0.0  # s, monotonic, at which the last one came
+    aborted: int = 0  # responses whose client disconnected; not part of entries_sent and bytes_sent
+    entries_sent: int = 0
+    bytes_sent: int = 0
+    bytes_received: int = 0
+    last_call_at: float = 0.0  # seconds, monotonic clock
 
 
 class HttpDiscovery:
-    """Serves a HostTable on loopback, at `address`, as long as its `with` block lasts.
+    """Serves a HostTable on loopback at `address` within a `with` block.
 
-    The methods are for the thread that opened it, those of the table for the thread inside.
+    The server runs in a thread of its own. Other threads call the public methods of this class only, never
+    those of the table.
     """
 
     def __init__(self, table: HostTable) -> None:
         self.table, self.counts, self.address = table, Counts(), ""
-        self.seen = 0  # the version that the last watch began from: its caller has taken that one in
+        self.acknowledged_version = 0  # that the last watch started from, so its client has applied it
 
     def __enter__(self) -> HttpDiscovery:
         self.loop = asyncio.new_event_loop()
         self.thread = threading.Thread(target=self.loop.run_forever, name="discovery", daemon=True)
         self.thread.start()
         try:
-            self.run(self.serve())
+            self.run_in_thread(self.start_server())
         except BaseException:
             self.__exit__()
             raise
@@ -163,117 +178,130 @@
 
     def __exit__(self, *_: object) -> None:
         try:
-            self.run(self.stop())
+            self.run_in_thread(self.stop_server())
         finally:
             self.loop.call_soon_threadsafe(self.loop.stop)
             self.thread.join()
             self.loop.close()
 
-    def run(self, order: Coroutine[Any, Any, T], patience: float = PATIENCE) -> T:
-        """Have the thread do something; its result."""
-        return asyncio.run_coroutine_threadsafe(order, self.loop).result(patience)
+    def run_in_thread(self, coroutine: Coroutine[Any, Any, T], timeout: float = THREAD_CALL_TIMEOUT) -> T:
+        """Run a coroutine in the server thread and return its result; raise TimeoutError after `timeout`."""
+        return asyncio.run_coroutine_threadsafe(coroutine, self.loop).result(timeout)
 
-    async def serve(self) -> None:
-        self.news = asyncio.Condition()  # a call or a new version
+    async def start_server(self) -> None:
+        self.changed = asyncio.Condition()  # notified of each watch and of each new version
         app = web.Application()
-        app.router.add_get("/discovery/hosts", self.hosts)
-        self.runner = web.AppRunner(app, access_log=None, shutdown_timeout=SHUTDOWN)
+        app.router.add_get("/discovery/hosts", self.handle_hosts)
+        self.runner = web.AppRunner(app, access_log=None, shutdown_timeout=SHUTDOWN_TIMEOUT)
         await self.runner.setup()
         await web.TCPSite(self.runner, HOST, 0).start()
         self.address = "{}:{}".format(*self.runner.addresses[0][:2])
 
-    async def stop(self) -> None:
+    async def stop_server(self) -> None:
         await self.runner.cleanup()
-        left = asyncio.all_tasks() - {asyncio.current_task()}  # watches whose callers have gone
-        for task in left:
+        remaining = asyncio.all_tasks() - {asyncio.current_task()}  # watches of disconnected clients
+        for task in remaining:
             task.cancel()
-        await asyncio.gather(*left, return_exceptions=True)
+        await asyncio.gather(*remaining, return_exceptions=True)
 
-    async def hosts(self, request: web.Request) -> web.Response:
-        """One call, answered and counted."""
-        line = len(f"{request.method} {request.raw_path} HTTP/1.1\r\n\r\n")
+    async def handle_hosts(self, request: web.Request) -> web.Response:
+        """Answer and count one call; a watch waits for a new version or its timeout."""
+        request_line = len(f"{request.method} {request.raw_path} HTTP/1.1\r\n\r\n")
         counts = self.counts
         self.counts = replace(
             counts,
             calls=counts.calls + 1,
-            received=counts.received + line + sum(len(k) + len(v) + 4 for k, v in request.raw_headers),
-            last_call=time.monotonic(),
+            bytes_received=counts.bytes_received
+            + request_line
+            + sum(len(k) + len(v) + 4 for k, v in request.raw_headers),
+            last_call_at=time.monotonic(),
         )
         try:
-            since, wait = read_query(request.query)
+            since, timeout_ms = read_query(request.query)
         except ValueError as error:
-            return await self.send(request, web.Response(status=400, text=f"{error}\n"))
+            return await self.send_response(request, web.Response(status=400, text=f"{error}\n"))
         if since is not None:
-            self.seen, self.counts = since, replace(self.counts, watches=self.counts.watches + 1)
+            self.acknowledged_version, self.counts = (
+                since,
+                replace(self.counts, watches=self.counts.watches + 1),
+            )
             with suppress(TimeoutError):
-                async with asyncio.timeout(wait / 1000), self.news:
-                    self.news.notify_all()
-                    await self.news.wait_for(lambda: self.table.version != since)
-        body, entries = self.table.answer(since)
-        return await self.send(request, web.Response(body=body, content_type="application/json"), entries)
+                async with asyncio.timeout(timeout_ms / 1000), self.changed:
+                    self.changed.notify_all()
+                    await self.changed.wait_for(lambda: self.table.version != since)
+        body, entries = self.table.response(since)
+        return await self.send_response(
+            request, web.Response(body=body, content_type="application/json"), entries
+        )
 
-    async def send(self, request: web.Request, response: web.Response, entries: int = 0) -> web.Response:
+    async def send_response(
+        self, request: web.Request, response: web.Response, entries: int = 0
+    ) -> web.Response:
         try:
             await response.prepare(request)
             await response.write_eof()
-        except ConnectionError:  # the caller has given up
-            self.counts = replace(self.counts, broken=self.counts.broken + 1)
+        except ConnectionError:  # the client disconnected
+            self.counts = replace(self.counts, aborted=self.counts.aborted + 1)
             return response
         counts = self.counts
         self.counts = replace(
-            counts, entries=counts.entries + entries, sent=counts.sent + response.body_length
-        )  # aiohttp's body_length is that of all it has written for the answer, head included
+            counts,
+            entries_sent=counts.entries_sent + entries,
+            bytes_sent=counts.bytes_sent + response.body_length,
+        )  # aiohttp's body_length counts all bytes written for the response, headers included
         return response
 
-    async def do(self, what: Callable[[], None], times: int = 1) -> int:
-        async with self.news:
+    async def update_table(self, update: Callable[[], None], times: int = 1) -> int:
+        async with self.changed:
             for _ in range(times):
-                what()
-            self.news.notify_all()
+                update()
+            self.changed.notify_all()
         return self.table.version
 
-    def change(self, times: int = 1) -> int:
-        """Make changes, each a version of its own; the last version."""
-        return self.run(self.do(self.table.change, times))
+    def apply_changes(self, count: int = 1) -> int:
+        """Make changes, each in a version of its own, and return the last version."""
+        return self.run_in_thread(self.update_table(self.table.apply_change, count))
 
-    def resend(self) -> int:
-        """Have the whole list go to whoever watches; its version."""
-        return self.run(self.do(self.table.forget))
+    def send_snapshot(self) -> int:
+        """Have watches answered with the whole list, and return its version."""
+        return self.run_in_thread(self.update_table(self.table.discard_changes))
 
-    def list_bytes(self) -> int:
-        """Bytes of the whole list as it is now, without the HTTP head."""
+    def snapshot_bytes(self) -> int:
+        """Return the size of the whole list in bytes, without HTTP headers."""
 
         async def size() -> int:
-            return len(self.table.answer(None)[0])
+            return len(self.table.response(None)[0])
 
-        return self.run(size())
+        return self.run_in_thread(size())
 
-    def taken(self, version: int, patience: float) -> bool:
-        """Wait (s) until a watch has begun from this version or a later one; whether one has."""
+    def wait_acknowledged(self, version: int, timeout: float) -> bool:
+        """Wait until a watch starts from this version or a later one; return False after `timeout` s."""
 
         async def wait() -> bool:
             try:
-                async with asyncio.timeout(patience), self.news:
-                    return await self.news.wait_for(lambda: self.seen >= version)
+                async with asyncio.timeout(timeout), self.changed:
+                    return await self.changed.wait_for(lambda: self.acknowledged_version >= version)
             except TimeoutError:
                 return False
 
-        return self.run(wait(), patience + PATIENCE)
+        return self.run_in_thread(wait(), timeout + THREAD_CALL_TIMEOUT)
 
     @contextmanager
-    def changing(self, changes: float, lists: float) -> Iterator[None]:
-        """Meanwhile so many changes come up a second, and whole lists."""
+    def background_updates(self, change_rate: float, snapshot_rate: float) -> Iterator[None]:
+        """Within the `with` block, make so many changes and send so many snapshots per second."""
 
-        async def repeat(what: Callable[[], None], rate: float) -> None:
-            due = self.loop.time()
+        async def repeat(update: Callable[[], None], rate: float) -> None:
+            due_at = self.loop.time()
             while True:
-                await self.do(what)
-                due += 1 / rate
-                await asyncio.sleep(due - self.loop.time())
+                await self.update_table(update)
+                due_at += 1 / rate
+                await asyncio.sleep(due_at - self.loop.time())
 
-        orders = ((self.table.change, changes), (self.table.forget, lists))
+        updates = ((self.table.apply_change, change_rate), (self.table.discard_changes, snapshot_rate))
         tasks = [
-            asyncio.run_coroutine_threadsafe(repeat(what, rate), self.loop) for what, rate in orders if rate
+            asyncio.run_coroutine_threadsafe(repeat(update, rate), self.loop)
+            for update, rate in updates
+            if rate
         ]
         try:
             yield
--- a/thymehinge/emulator/network.py
+++ b/thymehinge/emulator/network.py
@@ -1,4 +1,4 @@
-"""Datagrams between gateways: late, lost, cut off between regions, and bounded by the receiver's intake."""
+"""Simulated datagrams between gateways: latency, loss, partitions, and the receiver's rate limit."""
 
 from __future__ import annotations
 
@@ -8,70 +8,82 @@
 
 from thymehinge.emulator.clock import Clock
 
-DELAY = 0.002  # s one way at least, within a country
-JITTER = 0.003  # s, mean of the exponential delay beyond it
-LOSS = 0.005  # of the datagrams: a network that is well
-BODY_MOST = 256  # bytes of a datagram, by the protocol
+MIN_DELAY = 0.002  # seconds, one way
+MEAN_JITTER = 0.003  # seconds, mean of the exponential delay in addition
+LOSS_RATE = 0.005  # fraction of the datagrams, in a healthy network
+MAX_DATAGRAM_BYTES = 256  # limit of the protocol
 
 
 @dataclass(slots=True)
-class Traffic:
-    """Datagrams since counting began. Each one sent ends as delivered, lost, cut or refused."""
+class TrafficCounters:
+    """Datagrams since the last reset. Each one is delivered, lost, partitioned or over the limit."""
 
     sent: int = 0
-    bytes: int = 0
+    bytes_sent: int = 0
     delivered: int = 0
-    lost: int = 0  # by chance
-    cut: int = 0  # between regions that are cut off
-    refused: int = 0  # beyond the receiver's intake
-    received: Counter[int] = field(default_factory=Counter)  # by receiver, those refused as well
-    by_second: Counter[int] = field(default_factory=Counter)  # sent in each second of the clock
+    lost: int = 0  # at random
+    partitioned: int = 0  # dropped between partitioned regions
+    over_limit: int = 0  # dropped by the receiver's rate limit
+    received_by: Counter[int] = field(default_factory=Counter)  # by receiver, with those over the limit
+    sent_by_second: Counter[int] = field(default_factory=Counter)  # by second of simulated time
 
 
 class Network:
-    """Carries datagrams between gateways, each in a region; one takes `intake` a second, 0: any number."""
+    """Carries datagrams between gateways, each of which is in a region.
+
+    A gateway accepts `receive_limit` datagrams per second, any number if that is 0. Raises ValueError for a
+    loss rate outside 0 to 1, and for a datagram that is longer than the protocol allows.
+    """
 
     def __init__(
         self,
         clock: Clock,
         regions: Sequence[int],
-        intake: float,
+        receive_limit: float,
         deliver: Callable[[int, int, bytes], None],
-        loss: float = LOSS,
+        loss_rate: float = LOSS_RATE,
     ) -> None:
-        if not 0 <= loss <= 1:
-            raise ValueError(f"loss {loss!r} is no share from 0 to 1")
-        self.clock, self.regions, self.intake, self.loss = clock, regions, intake, loss
-        self.deliver = deliver  # to whom, from whom, what
-        self.cut_off: set[int] = set()  # regions
-        self.traffic = Traffic()
-        self.taken = [(0, 0)] * len(regions)  # the last second in which each took something, and how much
+        if not 0 <= loss_rate <= 1:
+            raise ValueError(f"loss rate {loss_rate!r} is not between 0 and 1")
+        self.clock, self.regions, self.receive_limit, self.loss_rate = (
+            clock,
+            regions,
+            receive_limit,
+            loss_rate,
+        )
+        self.deliver = deliver  # called with receiver, sender and payload
+        self.partitioned_regions: set[int] = set()  # each is cut off from all other regions
+        self.traffic = TrafficCounters()
+        self.accepted = [(0, 0)] * len(regions)  # for each gateway: a second, and datagrams accepted in it
 
-    def send(self, sender: int, to: int, body: bytes) -> None:
-        if len(body) > BODY_MOST:
-            raise ValueError(f"a datagram of {len(body)} bytes; the protocol allows {BODY_MOST}")
+    def send(self, sender: int, receiver: int, body: bytes) -> None:
+        if len(body) > MAX_DATAGRAM_BYTES:
+            raise ValueError(f"datagram of {len(body)} bytes exceeds the limit of {MAX_DATAGRAM_BYTES}")
         self.traffic.sent += 1
-        self.traffic.bytes += len(body)
-        self.traffic.by_second[int(self.clock.now)] += 1
-        self.clock.after(DELAY + self.clock.rng.exponential(JITTER), self.arrive, sender, to, body)
+        self.traffic.bytes_sent += len(body)
+        self.traffic.sent_by_second[int(self.clock.now)] += 1
+        self.clock.call_later(
+            MIN_DELAY + self.clock.rng.exponential(MEAN_JITTER), self.arrive, sender, receiver, body
+        )
 
-    def arrive(self, sender: int, to: int, body: bytes) -> None:
-        here, there = self.regions[sender], self.regions[to]
-        if here != there and (here in self.cut_off or there in self.cut_off):
-            self.traffic.cut += 1
-        elif self.clock.rng.random() < self.loss:
+    def arrive(self, sender: int, receiver: int, body: bytes) -> None:
+        """Count a datagram as partitioned or lost, or pass it to the receiver."""
+        source, target = self.regions[sender], self.regions[receiver]
+        if source != target and (source in self.partitioned_regions or target in self.partitioned_regions):
+            self.traffic.partitioned += 1
+        elif self.clock.rng.random() < self.loss_rate:
             self.traffic.lost += 1
         else:
-            self.traffic.received[to] += 1
-            self.take(sender, to, body)
+            self.traffic.received_by[receiver] += 1
+            self.accept(sender, receiver, body)
 
-    def take(self, sender: int, to: int, body: bytes) -> None:
-        """Deliver what is within the receiver's intake of this second."""
-        second, taken = self.taken[to]
-        taken = taken if second == int(self.clock.now) else 0
-        if self.intake > 0 and taken >= self.intake:
-            self.traffic.refused += 1
+    def accept(self, sender: int, receiver: int, body: bytes) -> None:
+        """Deliver a datagram unless the receiver has reached its limit for this second."""
+        second, accepted = self.accepted[receiver]
+        accepted = accepted if second == int(self.clock.now) else 0
+        if self.receive_limit > 0 and accepted >= self.receive_limit:
+            self.traffic.over_limit += 1
             return
-        self.taken[to] = int(self.clock.now), taken + 1
+        self.accepted[receiver] = int(self.clock.now), accepted + 1
         self.traffic.delivered += 1
-        self.deliver(to, sender, body)
+        self.deliver(receiver, sender, body)
--- a/thymehinge/emulator/real.py
+++ b/thymehinge/emulator/real.py
@@ -1,4 +1,4 @@
-"""Real gateways among stand-ins: what the list of table servers costs one in memory, bytes and time."""
+"""Slopes of real gateway processes: what the server list costs in memory, bytes and processor time."""
 
 from __future__ import annotations
 
@@ -9,188 +9,253 @@
 from dataclasses import dataclass
 from statistics import median
 
-from thymehinge.emulator.gateway_process import LIMITS, GatewayError, GatewayProcess, Prober, ping, resident
+from thymehinge.emulator.gateway_process import (
+    DEFAULT_LIMITS,
+    GatewayError,
+    GatewayProcess,
+    Prober,
+    ping,
+    process_memory,
+)
 from thymehinge.emulator.http_discovery import Counts, HostTable, HttpDiscovery
 from thymehinge.emulator.slopes import Slope
 
-FEW = 20  # table servers: the list of a small site
+SHORT_LIST = 20  # table servers
 MB = 10**6
-INTERPRETER = "import sys, asyncio, uvloop, hiredis, h11, json; print(flush=True); sys.stdin.read()"
-MEMORY_MB = 192  # of a gateway with up to LARGE servers, as on the operators' days
-LARGE, LARGE_MEMORY_MB = 100_000, 1024  # from so many on: an answer may have a twelfth of the memory
-TAKEN_MOST = 30.0  # s that a version may take until the gateway has it
-SETTLE = 0.5  # s after the start before it counts as idle: what the start left over is done
-ROUNDS = 7  # of PINGs and a whole list each; their median is taken
-BURST, BURSTS = 200, 15  # PINGs in one write, such writes in a round: some 20 ms of processor time
-CHANGES = 60  # one after the other: over a second of them, as the gateway waits 20 ms between watches
-CHANGE_RATE, LIST_RATE = 10.0, 1.0  # that come up a second under the prober
-LATE = 99.0  # percent of PINGs
+INTERPRETER_SCRIPT = "import sys, asyncio, uvloop, hiredis, h11, json; print(flush=True); sys.stdin.read()"
+MEMORY_MB = 192  # limit of a gateway with fewer than LARGE_LIST servers
+LARGE_LIST = 100_000  # servers
+LARGE_LIST_MEMORY_MB = 1024  # a response of discovery may take a twelfth of the memory
+ACKNOWLEDGE_TIMEOUT = 30.0  # seconds until the gateway has applied a version of the list
+SETTLE_TIME = 0.5  # seconds from the first list until the gateway is idle
+ROUNDS = 7  # of PINGs and a snapshot each
+PINGS_PER_WRITE = 200
+WRITES_PER_ROUND = 15
+CHANGE_COUNT = 60  # applied one by one, for more than a second: the gateway waits 20 ms between watches
+CHANGE_RATE = 10.0  # changes/s while the prober runs
+SNAPSHOT_RATE = 1.0  # snapshots/s while the prober runs
+TAIL_PERCENTILE = 99.0  # of the PING latencies
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
-    """The sizes of a measurement."""
-
-    many: int  # servers against which FEW is held
-    times: tuple[int, ...]  # servers at which times are taken
-    watches: int  # over which an idle gateway is counted
-    probe: float  # s of PINGs; longer at LARGE, where taking in a list takes seconds
-    probe_large: float = 15.0
-
-
-SMALL = Plan(many=5_000, times=(FEW, 2_000, 5_000, 20_000), watches=2, probe=2.0)
-FULL = Plan(many=20_000, times=(FEW, 2_000, 20_000, 200_000), watches=5, probe=10.0)
+class Sizes:
+    """Sizes and durations of the measurements."""
+
+    long_list: int  # servers, compared with SHORT_LIST
+    list_sizes: tuple[int, ...]  # servers, at which times are measured
+    idle_watches: int  # over which the traffic of an idle gateway is counted
+    probe_time: float  # seconds
+    large_list_probe_time: float = 15.0  # seconds; a gateway takes seconds to apply such a list
+
+
+SMALL_SIZES = Sizes(
+    long_list=5_000,
+    list_sizes=(SHORT_LIST, 2_000, 5_000, 20_000),
+    idle_watches=2,
+    probe_time=2.0,
+)
+FULL_SIZES = Sizes(
+    long_list=20_000,
+    list_sizes=(SHORT_LIST, 2_000, 20_000, 200_000),
+    idle_watches=5,
+    probe_time=10.0,
+)
 
 
 @dataclass(slots=True)
-class Start:
-    """A gateway's start: s until +PONG, whether it has the list by then or soon after, bytes."""
+class StartResult:
+    """Measurements of a gateway's start."""
 
-    ready: float
-    has_list: bool
-    list_bytes: int
-    rss: int
-    peak: int = 0  # after some more whole lists
+    ready_time: float  # seconds until +PONG
+    has_list: bool  # whether the gateway applied the list within ACKNOWLEDGE_TIMEOUT
+    snapshot_bytes: int
+    rss: int  # bytes
+    peak_rss: int = 0  # bytes, after some more snapshots
 
 
 @dataclass(frozen=True, slots=True)
 class Cost:
-    """Processor time (s) of a PING, of an entry of a whole list and of a change; bytes sent for a change."""
+    """Processor time of a gateway, in seconds, and the traffic of discovery."""
 
-    ping: float
-    entry: float
-    change: float
-    change_bytes: float
+    ping_time: float
+    entry_time: float  # for each entry of a snapshot
+    change_time: float
+    change_bytes: float  # that discovery sends
 
 
 def measure(small: bool, seed: int) -> Iterator[Slope]:
-    """Every slope of real gateways, from one gateway after the other."""
-    plan = SMALL if small else FULL
-    bare = interpreter()
-    yield Slope("process.memory.interpreter", bare / MB, "MB", "RSS of Python with the libraries imported")
-    starts: dict[int, Start] = {}
+    """Measure all slopes of real gateways, one gateway after the other."""
+    sizes = SMALL_SIZES if small else FULL_SIZES
+    interpreter_rss = interpreter_memory()
+    yield Slope(
+        "process.memory.interpreter", interpreter_rss / MB, "MB", "RSS of Python with the libraries imported"
+    )
+    starts: dict[int, StartResult] = {}
     costs: dict[int, Cost] = {}
-    for servers in plan.times:
-        memory = LARGE_MEMORY_MB if servers >= LARGE else MEMORY_MB
+    for servers in sizes.list_sizes:
+        memory_mb = LARGE_LIST_MEMORY_MB if servers >= LARGE_LIST else MEMORY_MB
         with (
             HttpDiscovery(HostTable(servers, seed)) as discovery,
-            GatewayProcess(discovery.address, limits=LIMITS | {"memory_mb": memory}) as gateway,
+            GatewayProcess(discovery.address, limits=DEFAULT_LIMITS | {"memory_mb": memory_mb}) as gateway,
         ):
-            start = starts[servers] = begin(gateway, discovery)
-            if servers == FEW:
-                yield from idle(gateway, discovery, start, plan.watches)
-            if servers in (FEW, plan.many):
-                costs[servers] = cost(gateway, discovery)
-                start.peak = gateway.peak()
-            yield from times(gateway, discovery, start, plan.probe_large if servers >= LARGE else plan.probe)
-    yield from compare(starts, costs, plan.many)
-
-
-def interpreter() -> int:
-    """Bytes of RSS of an interpreter that has imported what a gateway imports, and nothing of ours."""
+            start = starts[servers] = wait_until_idle(gateway, discovery)
+            if servers == SHORT_LIST:
+                yield from idle_slopes(gateway, discovery, start, sizes.idle_watches)
+            if servers in (SHORT_LIST, sizes.long_list):
+                costs[servers] = measure_cost(gateway, discovery)
+                start.peak_rss = gateway.peak_rss()
+            yield from time_slopes(
+                gateway,
+                discovery,
+                start,
+                sizes.large_list_probe_time if servers >= LARGE_LIST else sizes.probe_time,
+            )
+    yield from growth_slopes(starts, costs, sizes.long_list)
+
+
+def interpreter_memory() -> int:
+    """Return the RSS in bytes of an interpreter that has imported only the libraries that a gateway uses."""
     pipe = subprocess.PIPE
-    with subprocess.Popen([sys.executable, "-c", INTERPRETER], stdin=pipe, stdout=pipe) as process:
+    with subprocess.Popen([sys.executable, "-c", INTERPRETER_SCRIPT], stdin=pipe, stdout=pipe) as process:
         try:
             if process.stdout.readline() != b"\n":
-                raise GatewayError("an interpreter without the libraries: install requirements.txt")
-            return resident(process.pid)
+                raise GatewayError("libraries are missing: install requirements.txt")
+            return process_memory(process.pid)
         finally:
             process.kill()
 
 
-def begin(gateway: GatewayProcess, discovery: HttpDiscovery) -> Start:
-    """Wait until a gateway is ready, has the list and is idle."""
-    ready = gateway.ready()
-    has_list = discovery.taken(discovery.table.version, TAKEN_MOST)
-    time.sleep(SETTLE)
-    return Start(ready, has_list, discovery.list_bytes(), gateway.rss())
-
-
-def idle(gateway: GatewayProcess, discovery: HttpDiscovery, start: Start, watches: int) -> Iterator[Slope]:
-    """A gateway with few servers to which nothing happens."""
-    yield Slope("process.memory.bare", start.rss / MB, "MB", f"RSS, {FEW} servers, idle")
-    entry_bytes = start.list_bytes / FEW
-    yield Slope("discovery.bytes.entry", entry_bytes, "bytes an entry", f"body of a whole list of {FEW}")
-    first = next_call(discovery, 1)
-    last = next_call(discovery, watches)
-    seconds = last.last_call - first.last_call
-    how = f"between {watches + 1} calls"
-    yield Slope("discovery.calls.second", (last.calls - first.calls) / seconds, "calls a second", how)
-    moved = last.sent + last.received - first.sent - first.received
-    yield Slope("discovery.bytes.idle", moved / seconds, "bytes a second", f"HTTP both ways, {how}")
-    yield Slope("process.descriptors.idle", gateway.descriptors(), "descriptors", "without clients")
-
-
-def next_call(discovery: HttpDiscovery, calls: int) -> Counts:
-    """The counts when so many further calls have come."""
-    until, end = discovery.counts.calls + calls, time.monotonic() + TAKEN_MOST
-    while (counts := discovery.counts).calls < until:
-        if time.monotonic() > end:
-            raise GatewayError(f"{until - counts.calls} calls to discovery did not come")
+def wait_until_idle(gateway: GatewayProcess, discovery: HttpDiscovery) -> StartResult:
+    """Wait until a gateway is ready, has applied the list and is idle."""
+    ready_time = gateway.wait_ready()
+    has_list = discovery.wait_acknowledged(discovery.table.version, ACKNOWLEDGE_TIMEOUT)
+    time.sleep(SETTLE_TIME)
+    return StartResult(ready_time, has_list, discovery.snapshot_bytes(), gateway.rss())
+
+
+def idle_slopes(
+    gateway: GatewayProcess, discovery: HttpDiscovery, start: StartResult, watches: int
+) -> Iterator[Slope]:
+    """Memory, descriptors and discovery traffic of a gateway without requests, at SHORT_LIST servers."""
+    yield Slope("process.memory.bare", start.rss / MB, "MB", f"RSS, {SHORT_LIST} servers, idle")
+    entry_bytes = start.snapshot_bytes / SHORT_LIST
+    yield Slope(
+        "discovery.bytes.entry", entry_bytes, "bytes an entry", f"body of a whole list of {SHORT_LIST}"
+    )
+    first = wait_for_calls(discovery, 1)
+    last = wait_for_calls(discovery, watches)
+    seconds = last.last_call_at - first.last_call_at
+    conditions = f"between {watches + 1} calls"
+    yield Slope("discovery.calls.second", (last.calls - first.calls) / seconds, "calls a second", conditions)
+    transferred = last.bytes_sent + last.bytes_received - first.bytes_sent - first.bytes_received
+    yield Slope(
+        "discovery.bytes.idle", transferred / seconds, "bytes a second", f"HTTP both ways, {conditions}"
+    )
+    yield Slope("process.descriptors.idle", gateway.descriptor_count(), "descriptors", "without clients")
+
+
+def wait_for_calls(discovery: HttpDiscovery, calls: int) -> Counts:
+    """Return the counts once so many further calls have come; raise GatewayError after a timeout."""
+    target, deadline = discovery.counts.calls + calls, time.monotonic() + ACKNOWLEDGE_TIMEOUT
+    while (counts := discovery.counts).calls < target:
+        if time.monotonic() > deadline:
+            raise GatewayError(f"{target - counts.calls} expected calls to discovery did not arrive")
         time.sleep(0.005)
     return counts
 
 
-def take(discovery: HttpDiscovery, version: int) -> None:
-    if not discovery.taken(version, TAKEN_MOST):
-        raise GatewayError(f"version {version} of the list was not taken in within {TAKEN_MOST:g} s")
+def wait_for_version(discovery: HttpDiscovery, version: int) -> None:
+    """Wait until the gateway has applied a version of the list; raise GatewayError after a timeout."""
+    if not discovery.wait_acknowledged(version, ACKNOWLEDGE_TIMEOUT):
+        raise GatewayError(
+            f"gateway did not apply version {version} of the list within {ACKNOWLEDGE_TIMEOUT:g} s"
+        )
 
 
-def cost(gateway: GatewayProcess, discovery: HttpDiscovery) -> Cost:
-    """What PINGs, whole lists and changes take of the processor: medians, which few timers of its own meet.
+def measure_cost(gateway: GatewayProcess, discovery: HttpDiscovery) -> Cost:
+    """Measure the processor time of PINGs, snapshots and changes.
 
-    PINGs go many in one write: one by one, most of their cost is the waking, which doubles on a busy machine.
+    Medians keep out the gateway's own timers. PINGs are sent many per write: the cost of a single one is
+    mostly the wake-up of the process, which depends on the load of the machine.
     """
 
-    def spent(what: Callable[[], object]) -> float:
-        before = gateway.cpu()
-        what()
-        return gateway.cpu() - before
+    def cpu_time_of(action: Callable[[], object]) -> float:
+        before = gateway.cpu_time()
+        action()
+        return gateway.cpu_time() - before
 
     servers, pings, entries = len(discovery.table.names), [], []
     for _ in range(ROUNDS):
         with gateway.connect() as client:
-            pings.append(spent(lambda: [ping(client, BURST) for _ in range(BURSTS)]) / (BURST * BURSTS))
-        entries.append(spent(lambda: take(discovery, discovery.resend())) / servers)
-    sent = discovery.counts.sent
-    changes = [spent(lambda: take(discovery, discovery.change())) for _ in range(CHANGES)]
-    sent = discovery.counts.sent - sent
-    return Cost(median(pings), median(entries), median(changes), sent / CHANGES)
-
-
-def times(gateway: GatewayProcess, discovery: HttpDiscovery, start: Start, seconds: float) -> Iterator[Slope]:
-    """The start and the waits for PING, which tell of the machine as well."""
-    servers, failed = len(discovery.table.names), gateway.failures()
-    how = f"list {start.list_bytes / MB:.3f} MB, RSS {start.rss / MB:.0f} MB"
-    how += "" if start.has_list else f", WITHOUT THE LIST after {TAKEN_MOST:g} s"
-    yield Slope(f"time.ready.{servers}", start.ready, "s", how + told(failed), checked=False)
+            pings.append(
+                cpu_time_of(lambda: [ping(client, PINGS_PER_WRITE) for _ in range(WRITES_PER_ROUND)])
+                / (PINGS_PER_WRITE * WRITES_PER_ROUND)
+            )
+        entries.append(cpu_time_of(lambda: wait_for_version(discovery, discovery.send_snapshot())) / servers)
+    bytes_sent = discovery.counts.bytes_sent
+    changes = [
+        cpu_time_of(lambda: wait_for_version(discovery, discovery.apply_changes()))
+        for _ in range(CHANGE_COUNT)
+    ]
+    bytes_sent = discovery.counts.bytes_sent - bytes_sent
+    return Cost(median(pings), median(entries), median(changes), bytes_sent / CHANGE_COUNT)
+
+
+def time_slopes(
+    gateway: GatewayProcess, discovery: HttpDiscovery, start: StartResult, seconds: float
+) -> Iterator[Slope]:
+    """Start-up time, and PING latencies while the list changes; both depend on the machine as well."""
+    servers, warnings = len(discovery.table.names), gateway.discovery_warnings()
+    description = f"list {start.snapshot_bytes / MB:.3f} MB, RSS {start.rss / MB:.0f} MB"
+    description += "" if start.has_list else f", WITHOUT THE LIST after {ACKNOWLEDGE_TIMEOUT:g} s"
+    yield Slope(
+        f"time.ready.{servers}",
+        start.ready_time,
+        "s",
+        description + describe_warnings(warnings),
+        checked=False,
+    )
     prober, before = Prober(gateway), discovery.counts
-    with discovery.changing(CHANGE_RATE, LIST_RATE):
+    with discovery.background_updates(CHANGE_RATE, SNAPSHOT_RATE):
         prober.run(seconds)
-    counts, failed = discovery.counts, gateway.failures()[len(failed) :]
-    how = f"{counts.entries - before.entries:,} entries in {counts.calls - before.calls} answers"
-    how += f", peak RSS {gateway.peak() / MB:.0f} MB{told(failed)}"
-    yield Slope(f"time.ping_p99.{servers}", prober.percentile(LATE), "ms", how, checked=False)
-    yield Slope(f"time.ping_max.{servers}", prober.percentile(100.0), "ms", how, checked=False)
-
-
-def told(failed: list[str]) -> str:
-    """Which calls to discovery failed: a list that could not be read is news."""
-    return f", {len(failed)} CALLS FAILED, the last: {failed[-1]}" if failed else ""
-
-
-def compare(starts: dict[int, Start], costs: dict[int, Cost], many: int) -> Iterator[Slope]:
-    """What one more server costs, and how a change's cost grows with them."""
-    few, most, further = starts[FEW], starts[many], many - FEW
-    how = f"between {FEW} and {many:,} servers"
-    yield Slope("process.memory.server", (most.rss - few.rss) / further, "bytes a server", f"RSS, {how}")
-    peak = (most.peak - few.peak) / further
-    more = f"VmHWM after {ROUNDS} more whole lists, {how}"
-    yield Slope("process.memory.server_peak", peak, "bytes a server", more)
-    one, other = costs[FEW], costs[many]
-    how_change = f"answers, heads included, to {CHANGES} changes at {FEW}"
-    yield Slope("discovery.bytes.change", one.change_bytes, "bytes a change", how_change)
-    how_entry = f"{other.entry * 1e6:.1f} us in {many:,} taken in again, over a PING, {BURST} in one write"
-    yield Slope("process.cpu.entry", other.entry / other.ping, "PINGs an entry", how_entry)
-    figures = f"median change: {other.change * 1e3:.2f} over {one.change * 1e3:.2f} ms, {how}"
-    yield Slope("process.cpu.change", other.change / one.change, "times", figures)
+    counts, warnings = discovery.counts, gateway.discovery_warnings()[len(warnings) :]
+    description = (
+        f"{counts.entries_sent - before.entries_sent:,} entries in {counts.calls - before.calls} answers"
+    )
+    description += f", peak RSS {gateway.peak_rss() / MB:.0f} MB{describe_warnings(warnings)}"
+    yield Slope(
+        f"time.ping_p99.{servers}", prober.percentile(TAIL_PERCENTILE), "ms", description, checked=False
+    )
+    yield Slope(f"time.ping_max.{servers}", prober.percentile(100.0), "ms", description, checked=False)
+
+
+def describe_warnings(warnings: list[str]) -> str:
+    """Return the part of a slope's description about failed calls to discovery, empty if there are none."""
+    return f", {len(warnings)} CALLS FAILED, the last: {warnings[-1]}" if warnings else ""
+
+
+def growth_slopes(starts: dict[int, StartResult], costs: dict[int, Cost], long_list: int) -> Iterator[Slope]:
+    """Memory and processor time of one more server, and the growth of a change's cost with their number."""
+    few, many, further = starts[SHORT_LIST], starts[long_list], long_list - SHORT_LIST
+    conditions = f"between {SHORT_LIST} and {long_list:,} servers"
+    yield Slope(
+        "process.memory.server", (many.rss - few.rss) / further, "bytes a server", f"RSS, {conditions}"
+    )
+    peak = (many.peak_rss - few.peak_rss) / further
+    peak_conditions = f"VmHWM after {ROUNDS} more whole lists, {conditions}"
+    yield Slope("process.memory.server_peak", peak, "bytes a server", peak_conditions)
+    short_cost, long_cost = costs[SHORT_LIST], costs[long_list]
+    change_conditions = f"answers, heads included, to {CHANGE_COUNT} changes at {SHORT_LIST}"
+    yield Slope("discovery.bytes.change", short_cost.change_bytes, "bytes a change", change_conditions)
+    entry_conditions = (
+        f"{long_cost.entry_time * 1e6:.1f} us in {long_list:,} applied again, over a PING, "
+        f"{PINGS_PER_WRITE} in one write"
+    )
+    yield Slope(
+        "process.cpu.entry", long_cost.entry_time / long_cost.ping_time, "PINGs an entry", entry_conditions
+    )
+    description = (
+        f"median change: {long_cost.change_time * 1e3:.2f} over {short_cost.change_time * 1e3:.2f} ms, "
+        f"{conditions}"
+    )
+    yield Slope("process.cpu.change", long_cost.change_time / short_cost.change_time, "times", description)
--- a/thymehinge/emulator/servers.py
+++ b/thymehinge/emulator/servers.py
@@ -1,4 +1,4 @@
-"""Table servers: cores that take from one bounded queue in order, slow at first, drained before a stop."""
+"""Simulated table servers: several cores, one bounded FIFO queue, slow start, and a drain before a stop."""
 
 from __future__ import annotations
 
@@ -12,78 +12,89 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
-    """What a table server is made of."""
+class ServerSpec:
+    """Capacity of a table server."""
 
     cores: int = 4
-    room: int = 80  # requests that its queue holds
-    cold_share: float = 0.25  # of its speed when it has just started
-    cold_time: float = 10.0  # s until it has all of it
+    queue_limit: int = 80  # requests
+    slow_start_capacity: float = 0.25  # fraction of its speed just after its start
+    slow_start_duration: float = 10.0  # seconds until full speed
 
     def __post_init__(self) -> None:
-        if self.cores < 1 or self.room < 0 or not 0 < self.cold_share <= 1 or self.cold_time < 0:
-            raise ValueError(f"no table server can be made of {self}")
+        """Raise ValueError for an impossible capacity."""
+        if (
+            self.cores < 1
+            or self.queue_limit < 0
+            or not 0 < self.slow_start_capacity <= 1
+            or self.slow_start_duration < 0
+        ):
+            raise ValueError(f"invalid table server: {self}")
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt of a gateway's request: on its way, at work or over."""
+    """One attempt of a gateway's request."""
 
     gateway: int
-    life: int  # of the gateway, which may have been restarted since
+    incarnation: int  # of the gateway, which may have restarted since
     request: int
-    number: int
+    index: int  # among the request's attempts
     server: str
-    work: float  # s of one core
-    sent: float  # s on the clock
-    over: bool = False
+    service_time: float  # seconds of one core at full speed
+    sent_at: float  # seconds, simulated time
+    finished: bool = False
 
 
 class TableServer:
-    """One life of a table server; `answer` is called for each attempt that it ends."""
+    """A table server from one start to the next; calls `on_finish` for each attempt that it answers."""
 
     def __init__(
-        self, clock: Clock, entry: api.Server, kind: Kind, answer: Callable[[Attempt, Result], None]
+        self,
+        clock: Clock,
+        entry: api.Server,
+        spec: ServerSpec,
+        on_finish: Callable[[Attempt, Result], None],
     ) -> None:
-        self.clock, self.entry, self.kind, self.answer = clock, entry, kind, answer
-        self.state, self.busy = LifecycleState.RUNNING, 0
+        self.clock, self.entry, self.spec, self.on_finish = clock, entry, spec, on_finish
+        self.state, self.busy_cores = LifecycleState.RUNNING, 0
         self.queue: deque[Attempt] = deque()
-        self.gateways: set[int] = set()  # whose attempts came
+        self.client_gateways: set[int] = set()  # gateways that have sent an attempt
 
-    def warmth(self) -> float:
-        """The part of its speed that it has by now."""
-        k, age = self.kind, self.clock.now - self.entry.started_at
-        if self.entry.started_at <= 0 or age >= k.cold_time:
+    def capacity_fraction(self) -> float:
+        """Return the fraction of full speed that the server has reached."""
+        spec, age = self.spec, self.clock.now - self.entry.started_at
+        if self.entry.started_at <= 0 or age >= spec.slow_start_duration:
             return 1.0
-        return k.cold_share + (1 - k.cold_share) * age / k.cold_time
+        return spec.slow_start_capacity + (1 - spec.slow_start_capacity) * age / spec.slow_start_duration
 
-    def report(self) -> dict[str, float]:
-        """Its load, as an answer tells it."""
-        return {"inflight": float(self.busy + len(self.queue)), "queue": float(len(self.queue))}
+    def load_report(self) -> dict[str, float]:
+        """Return the load that the server reports with an answer."""
+        return {"inflight": float(self.busy_cores + len(self.queue)), "queue": float(len(self.queue))}
 
-    def reach(self, attempt: Attempt) -> None:
-        """An attempt comes in: a lost server is silent, a draining or full one turns it away."""
+    def receive(self, attempt: Attempt) -> None:
+        """Start, queue or reject an attempt; a stopped server does not answer."""
         if self.state is LifecycleState.GONE:
             return
-        self.gateways.add(attempt.gateway)
-        full = self.busy >= self.kind.cores and len(self.queue) >= self.kind.room
+        self.client_gateways.add(attempt.gateway)
+        full = self.busy_cores >= self.spec.cores and len(self.queue) >= self.spec.queue_limit
         if full or self.state is LifecycleState.DRAINING:
-            self.answer(attempt, Result.REJECTED)
-        elif self.busy < self.kind.cores:
-            self.serve(attempt)
+            self.on_finish(attempt, Result.REJECTED)
+        elif self.busy_cores < self.spec.cores:
+            self.start_work(attempt)
         else:
             self.queue.append(attempt)
 
-    def serve(self, attempt: Attempt) -> None:
-        self.busy += 1
-        self.clock.after(attempt.work / self.warmth(), self.served, attempt)
+    def start_work(self, attempt: Attempt) -> None:
+        self.busy_cores += 1
+        self.clock.call_later(attempt.service_time / self.capacity_fraction(), self.finish_work, attempt)
 
-    def served(self, attempt: Attempt) -> None:
+    def finish_work(self, attempt: Attempt) -> None:
+        """Free the core for queued attempts that the gateway still waits for, and answer."""
         if self.state is LifecycleState.GONE:
             return
-        self.busy -= 1
-        while self.queue and self.busy < self.kind.cores:
-            following = self.queue.popleft()
-            if not following.over:
-                self.serve(following)
-        self.answer(attempt, Result.OK)
+        self.busy_cores -= 1
+        while self.queue and self.busy_cores < self.spec.cores:
+            queued = self.queue.popleft()
+            if not queued.finished:
+                self.start_work(queued)
+        self.on_finish(attempt, Result.OK)
--- a/thymehinge/emulator/slopes.py
+++ b/thymehinge/emulator/slopes.py
@@ -1,4 +1,4 @@
-"""Slopes: what one more server, customer, gateway or request costs, and the ranges that a page states."""
+"""Slopes: the cost of one more server, customer, gateway or request, and the ranges documented for them."""
 
 from __future__ import annotations
 
@@ -12,38 +12,41 @@
 class Slope:
     """One measured slope.
 
-    Counts, bytes, and ratios of processor times within one run are checked. A time tells of the machine as
-    well, so it is only printed.
+    Counts, bytes, and ratios of processor times within one run are checked against a range. Absolute times
+    depend on the machine and are only printed.
     """
 
     name: str  # role.what.per, such as gateway.memory.server
     value: float
     unit: str  # such as "bytes a server"
-    how: str  # what was measured, at which sizes
+    description: str  # what was measured, at which sizes
     checked: bool = True
 
 
-Measure = Callable[[bool, int], Iterator[Slope]]  # at small sizes or in full, from a seed
+Measurement = Callable[[bool, int], Iterator[Slope]]  # arguments: small sizes instead of full ones, seed
 
-NUMBER = r"\d[\d,]*(?:\.\d+)?"
-ROW = re.compile(rf"^\| `([a-z0-9_.]+)` \|[^|]*\| ({NUMBER}) to ({NUMBER}) \|", re.MULTILINE)
+NUMBER_PATTERN = r"\d[\d,]*(?:\.\d+)?"
+RANGE_ROW = re.compile(
+    rf"^\| `([a-z0-9_.]+)` \|[^|]*\| ({NUMBER_PATTERN}) to ({NUMBER_PATTERN}) \|", re.MULTILINE
+)
 
 
 class PageError(Exception):
-    """A page whose ranges can't be used; the text tells why."""
+    """A page of ranges that is missing or invalid."""
 
 
-def stated(page: Path) -> dict[str, tuple[float, float]]:
-    """The ranges that a page states, by the names of their slopes.
+def read_ranges(page: Path) -> dict[str, tuple[float, float]]:
+    """Read the ranges that a Markdown page states, by slope name.
 
-    Each stands in a table row of its own: the name in backquotes, the figure measured, then `LOW to HIGH`.
+    Each range is a table row: the name in backquotes, the measured value, then `LOW to HIGH`. Raises
+    PageError if the page can't be read, or states no range, an invalid one or two for the same slope.
     """
     try:
         text = page.read_text(encoding="utf-8")
     except OSError as error:
         raise PageError(f"{page}: {error.strerror or error}") from None
     ranges: dict[str, tuple[float, float]] = {}
-    for name, *bounds in ROW.findall(text):
+    for name, *bounds in RANGE_ROW.findall(text):
         low, high = (float(bound.replace(",", "")) for bound in bounds)
         if name in ranges:
             raise PageError(f"{page}: {name} has two rows")
@@ -55,16 +58,18 @@
     return ranges
 
 
-def faults(slopes: list[Slope], ranges: dict[str, tuple[float, float]]) -> list[str]:
-    """What is wrong between measured slopes and stated ranges, a line each; none where all is well."""
-    found = []
+def find_violations(slopes: list[Slope], ranges: dict[str, tuple[float, float]]) -> list[str]:
+    """Describe each checked slope that is out of range or has none, and each range without a slope."""
+    violations = []
     checked = [slope for slope in slopes if slope.checked]
     for slope in checked:
         if slope.name not in ranges:
-            found.append(f"{slope.name}: {slope.value:g} {slope.unit}, and the page states no range")
+            violations.append(f"{slope.name}: {slope.value:g} {slope.unit}, and the page states no range")
             continue
         low, high = ranges[slope.name]
         if not low <= slope.value <= high:
-            found.append(f"{slope.name}: {slope.value:g} {slope.unit} is not within {low:g} to {high:g}")
+            violations.append(f"{slope.name}: {slope.value:g} {slope.unit} is not within {low:g} to {high:g}")
     missing = ranges.keys() - {slope.name for slope in checked}
-    return sorted(found + [f"{name}: the page states a range, and nothing was measured" for name in missing])
+    return sorted(
+        violations + [f"{name}: the page states a range, and nothing was measured" for name in missing]
+    )
