--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Tests that are known to fail: listed in KNOWN-RED.txt, run, and reported without failing the suite."""
+"""Marks the tests listed in KNOWN-RED.txt as expected failures: they run, but do not fail the suite."""
 
 from __future__ import annotations
 
@@ -7,20 +7,25 @@
 import pytest
 
 KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
-MOST = 3  # lines: more is no list of exceptions
+MAX_ENTRIES = 3
 
 
-def known_red() -> list[str]:
-    """The lines of the list, each `test or file of tests | cause | issue`."""
+def read_known_red() -> list[str]:
+    """Returns the lines of KNOWN-RED.txt, each `test or test file | cause | issue`.
+
+    Raises pytest.UsageError if there are too many lines or one has another form.
+    """
     lines = KNOWN_RED.read_text().splitlines() if KNOWN_RED.exists() else []
     lines = [line for line in lines if line.strip()]
-    if len(lines) > MOST or any(line.count("|") != 2 for line in lines):
-        raise pytest.UsageError(f"KNOWN-RED.txt: at most {MOST} lines of the form `test | cause | issue`")
+    if len(lines) > MAX_ENTRIES or any(line.count("|") != 2 for line in lines):
+        raise pytest.UsageError(
+            f"KNOWN-RED.txt: expected at most {MAX_ENTRIES} lines of the form `test | cause | issue`"
+        )
     return lines
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    for line in known_red():
+    for line in read_known_red():
         test, cause, issue = (part.strip() for part in line.split("|"))
         for item in items:
             if item.nodeid == test or item.nodeid.startswith((f"{test}[", f"{test}::")):
@@ -28,5 +33,5 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    for line in known_red():
+    for line in read_known_red():
         terminalreporter.write_line(f"known red: {line}")
--- a/tests/crossing_clients.py
+++ b/tests/crossing_clients.py
@@ -1,11 +1,11 @@
-"""Random days against the program as a process, with one judge that knows the operators' terms.
+"""Soak test: random clients and faults against the program as a process, checked against the terms.
 
     python tests/crossing_clients.py --seed 1 --days 50
 
-Clients, table servers, discovery, signals, clocks and system calls misbehave as a seed draws it. It prints
-each break of a term, and counts; its exit code is 1 if there was one. The timing is the machine's, so that a
-seed gives the choices and not the same run twice: what it finds becomes a test of its own with the crossing
-forced, as in test_connection_end.py.
+A day is one run. Its seed draws how clients, table servers, discovery, signals, clocks and system calls
+misbehave, but timing differs from run to run, so a seed doesn't reproduce a failure exactly; for each one
+found, add a test that forces the interleaving, as in test_connection_end.py. Prints violations and counts;
+the exit code is 1 if a term was violated or a gateway did not exit with 0.
 """
 
 from __future__ import annotations
@@ -25,19 +25,19 @@
 from pathlib import Path
 
 import hiredis
-from discoverykit import Agent
-from faultkit import Faults
-from netkit import HOST, configuration, options
-from processkit import ROOT, free_port, serving
-from soak_troubles import Server, Troubles
-from term_judge import Judge
-
-SERVERS = 12
-LATE = 0.55  # s past its time in which an answer still counts, and a little for this process
-CROSSING = 0.02  # s before the end of a connection in which a request may not have been read
-HELD_UP = 0.3  # s more where the end itself tells that it was not: the gateway may be held up twice
-NONSENSE = hiredis.pack_command(("NONSENSE",))
-KINDS = (
+from discoverykit import FakeDiscovery
+from faultkit import FaultInjector
+from netkit import HOST, raw_config, raw_settings
+from processkit import ROOT, free_port, running_gateway
+from soak_troubles import FaultSchedule, FaultyTableServer
+from term_judge import TermsChecker
+
+SERVER_COUNT = 12
+ANSWER_SLACK = 0.55  # seconds past its timeout in which an answer is accepted, including this process's delay
+CLOSE_RACE_WINDOW = 0.02  # seconds before the end of a connection in which a request may stay unread
+STALL_ALLOWANCE = 0.3  # seconds more if the connection was reset: the gateway may stall twice
+UNKNOWN_COMMAND = hiredis.pack_command(("NONSENSE",))
+CONNECTION_KINDS = (
     "pipelined",
     "half",
     "nonsense",
@@ -49,36 +49,35 @@
     "large body",
     "leaves",
 )
-REPEATS = {"lookup": "read_like", "order": "idempotency_key", "once": "non_idempotent"}
-WINDOW, GRACE = (
-    0.4,
-    1.0,
-)  # s for repeats of a keyed request; s for sends to a server after it was told to drain
-KILL = 3.7  # s from SIGTERM to SIGKILL at the earliest, for deadlines of 3 s and more
+IDEMPOTENCY = {"lookup": "read_like", "order": "idempotency_key", "once": "non_idempotent"}
+DEDUP_WINDOW = 0.4  # seconds
+DRAIN_GRACE = 1.0  # seconds in which a server that drains may still be sent requests
+KILL_DELAY = 3.7  # seconds from SIGTERM to the earliest SIGKILL, for deadlines of 3 s and more
 
 
 @dataclass(slots=True)
-class Sent:
-    """A request whose last byte has been written."""
+class SentRequest:
+    """A request that has been written in full; its timeout is in seconds."""
 
-    id: bytes
-    at: float
-    wait: float
+    request_id: bytes
+    sent_at: float
+    timeout: float
 
 
 @dataclass(slots=True)
 class Connection:
-    """One connection of a client: what went out, what came back, and when it ended."""
+    """One client connection with its requests, its answers and their times."""
 
     kind: str
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
-    sent: list[Sent] = field(default_factory=list)
+    requests: list[SentRequest] = field(default_factory=list)
     answers: list[tuple[object, float]] = field(default_factory=list)
-    ended: float | None = None
-    reset: bool = False  # the other end closed over bytes that it had not read
+    ended_at: float | None = None
+    was_reset: bool = False  # by the gateway, which had unread data
 
-    async def read(self) -> None:
+    async def read_answers(self) -> None:
+        """Reads answers until the connection ends."""
         parser = hiredis.Reader()
         try:
             while data := await self.reader.read(65536):
@@ -88,25 +87,35 @@
                 if self.kind == "slow reader":
                     await asyncio.sleep(0.1)
         except OSError:
-            self.reset = True
-        self.ended = time.monotonic()
+            self.was_reset = True
+        self.ended_at = time.monotonic()
 
-    async def answered(self) -> bool:
-        """Wait for all answers, the end, or a time past the last deadline; whether all answers came."""
-        until = max((s.at + s.wait for s in self.sent), default=0.0) + LATE + 2.0
-        while self.ended is None and len(self.answers) < len(self.sent) and time.monotonic() < until:
+    async def wait_answered(self) -> bool:
+        """Waits for all answers, the end or the last deadline; returns whether all answers arrived."""
+        end = max((r.sent_at + r.timeout for r in self.requests), default=0.0) + ANSWER_SLACK + 2.0
+        while self.ended_at is None and len(self.answers) < len(self.requests) and time.monotonic() < end:
             await asyncio.sleep(0.005)
-        return len(self.answers) >= len(self.sent)
+        return len(self.answers) >= len(self.requests)
 
 
 class Client:
-    """One client that opens connection after connection, each of a kind drawn at random."""
+    """A client that opens one connection after another, each of a random kind."""
 
     def __init__(
-        self, number: int, seed: int, address: tuple[str, int], counts: Counter[str], judge: Judge
+        self,
+        number: int,
+        seed: int,
+        address: tuple[str, int],
+        outcome_counts: Counter[str],
+        checker: TermsChecker,
     ) -> None:
-        self.number, self.address, self.counts, self.judge = number, address, counts, judge
-        self.rng, self.requests = random.Random(f"{seed} {number}"), 0
+        self.number, self.address, self.outcome_counts, self.checker = (
+            number,
+            address,
+            outcome_counts,
+            checker,
+        )
+        self.rng, self.request_count = random.Random(f"{seed} {number}"), 0
 
     async def run(self, stopped: asyncio.Event) -> None:
         while not stopped.is_set():
@@ -115,185 +124,195 @@
             except OSError:
                 await asyncio.sleep(0.05)
                 continue
-            connection = Connection(self.rng.choice(KINDS), *streams)
-            reading = asyncio.create_task(connection.read())
+            connection = Connection(self.rng.choice(CONNECTION_KINDS), *streams)
+            reading = asyncio.create_task(connection.read_answers())
             with suppress(OSError):
-                await self.play(connection)
+                await self.write_requests(connection)
             if connection.kind != "leaves":
-                await connection.answered()
-            self.count(connection)
+                await connection.wait_answered()
+            self.count_outcomes(connection)
             reading.cancel()
             connection.writer.close()
 
-    async def play(self, connection: Connection) -> None:
-        """Write what a client of this kind writes."""
+    async def write_requests(self, connection: Connection) -> None:
+        """Writes the requests and other data of a connection of its kind."""
         if connection.kind == "idle":
             await asyncio.sleep(self.rng.choice((1.0, 9.9, 10.0, 10.1)))
         if connection.kind == "leaves":
-            await self.ask(connection)
+            await self.send_request(connection)
             return await asyncio.sleep(self.rng.choice((0.0, 0.002, 0.02, 0.1, 0.5)))
         many = connection.kind in ("pipelined", "slow reader")
         for _ in range(self.rng.randint(2, 8) if many else self.rng.randint(1, 3)):
-            await self.ask(connection)
+            await self.send_request(connection)
         match connection.kind:
             case "half":
-                connection.writer.write(self.command(connection.kind)[2][:20])
+                connection.writer.write(self.next_command(connection.kind)[2][:20])
             case "nonsense":
                 connection.writer.write(b"GET / HTTP\r\n\r\n" * self.rng.choice((1, 50, 2000)))
             case "unknown":
-                connection.writer.write(NONSENSE * self.rng.choice((8, 9, 600)))
+                connection.writer.write(UNKNOWN_COMMAND * self.rng.choice((8, 9, 600)))
             case "chain":
                 for _ in range(30):
-                    if not await connection.answered() or connection.ended:
+                    if not await connection.wait_answered() or connection.ended_at:
                         return
                     await asyncio.sleep(self.rng.choice((0.0, 0.003, 0.01, 0.05, 0.3)))
-                    await self.ask(connection)
+                    await self.send_request(connection)
 
-    async def ask(self, connection: Connection) -> None:
-        """Write one request, in pieces now and then."""
-        request, repeat, data, wait = self.command(connection.kind)
+    async def send_request(self, connection: Connection) -> None:
+        """Writes one request, sometimes in several pieces."""
+        request, idempotency, data, timeout = self.next_command(connection.kind)
         size = len(data) // self.rng.choice((1, 1, 3)) + 1
         for start in range(0, len(data), size):
             if start:
                 await asyncio.sleep(self.rng.choice((0.0, 0.05, 0.4, 1.2)))
             connection.writer.write(data[start : start + size])
-        self.judge.sent(request, repeat, time.monotonic(), wait)
-        while connection.ended is None and connection.writer.transport.get_write_buffer_size():
+        self.checker.request_sent(request, idempotency, time.monotonic(), timeout)
+        while connection.ended_at is None and connection.writer.transport.get_write_buffer_size():
             await asyncio.sleep(0.001)
-        self.judge.records[request].sent = now = time.monotonic()
-        if connection.ended is None:
-            connection.sent.append(Sent(request, now, wait))
-
-    def command(self, kind: str) -> tuple[bytes, str, bytes, float]:
-        """A new request's id, its kind of repeat, its command, and how long its client waits (s)."""
-        self.requests += 1
-        request, wait = b"%08x%08x" % (self.number, self.requests), self.rng.choice((500, 1000, 3000, 6000))
+        self.checker.records[request].sent_at = now = time.monotonic()
+        if connection.ended_at is None:
+            connection.requests.append(SentRequest(request, now, timeout))
+
+    def next_command(self, kind: str) -> tuple[bytes, str, bytes, float]:
+        """Returns a new request's id, idempotency, encoded command and timeout in seconds."""
+        self.request_count += 1
+        request, timeout_ms = (
+            b"%08x%08x" % (self.number, self.request_count),
+            self.rng.choice((500, 1000, 3000, 6000)),
+        )
         customer = b"%016x" % self.rng.randrange(2**30)
-        cls = "order" if kind == "large body" else self.rng.choice(("lookup", "lookup", "order", "once"))
-        fields = b"c=%b,t=village,d=%d" % (cls.encode(), wait)
-        if cls == "lookup":
+        class_name = (
+            "order" if kind == "large body" else self.rng.choice(("lookup", "lookup", "order", "once"))
+        )
+        fields = b"c=%b,t=village,d=%d" % (class_name.encode(), timeout_ms)
+        if class_name == "lookup":
             words = (b"API.READ", customer, request, fields)
         else:
             body = b"y" * (self.rng.choice((10, 5000, 64000)) if kind == "large body" else 10)
-            key = b",k=" + request if cls == "order" else b""
+            key = b",k=" + request if class_name == "order" else b""
             words = (b"API.WRITE", customer, request, fields + key, body)
-        return request, REPEATS[cls], hiredis.pack_command(words), wait / 1000
+        return request, IDEMPOTENCY[class_name], hiredis.pack_command(words), timeout_ms / 1000
 
-    def count(self, connection: Connection) -> None:
-        """Count what became of each request, and print what should not be."""
+    def count_outcomes(self, connection: Connection) -> None:
+        """Counts the outcome of each request of a connection and prints the violations."""
         if connection.kind == "leaves":
-            for sent in connection.sent[len(connection.answers) :]:
-                self.judge.records[sent.id].closed = time.monotonic()
-                self.counts["left"] += 1
-            connection.sent = connection.sent[: len(connection.answers)]
-        for i, sent in enumerate(connection.sent):
+            for request in connection.requests[len(connection.answers) :]:
+                self.checker.records[request.request_id].closed_at = time.monotonic()
+                self.outcome_counts["left"] += 1
+            connection.requests = connection.requests[: len(connection.answers)]
+        for i, request in enumerate(connection.requests):
             if str(connection.answers[i][0] if i < len(connection.answers) else "").startswith("BUSY"):
-                self.judge.refused(sent.id)
-            fate = self.fate(connection, i, sent)
-            self.counts[fate] += 1
-            if fate.isupper():
-                print(fate, connection.kind, sent, f"answer {i} of {len(connection.answers)}")
-
-    def fate(self, connection: Connection, i: int, sent: Sent) -> str:
-        """In capitals what should not be."""
-        if i >= len(connection.answers):
-            unread = CROSSING + connection.reset * HELD_UP
-            crossed = connection.ended is not None and connection.ended - sent.at < unread
+                self.checker.request_refused(request.request_id)
+            outcome = self.classify(connection, i, request)
+            self.outcome_counts[outcome] += 1
+            if outcome.isupper():
+                print(outcome, connection.kind, request, f"answer {i} of {len(connection.answers)}")
+
+    def classify(self, connection: Connection, index: int, request: SentRequest) -> str:
+        """Returns the outcome of a connection's request at an index; upper case is a violation."""
+        if index >= len(connection.answers):
+            unread_window = CLOSE_RACE_WINDOW + connection.was_reset * STALL_ALLOWANCE
+            crossed = (
+                connection.ended_at is not None and connection.ended_at - request.sent_at < unread_window
+            )
             return "crossed the end" if crossed else "NO ANSWER"
-        answer, at = connection.answers[i]
+        answer, answered_at = connection.answers[index]
         if "Protocol error" in str(answer):
             return "ERROR BEFORE ITS ANSWER"
-        if isinstance(answer, bytes) and not answer.startswith(sent.id):
+        if isinstance(answer, bytes) and not answer.startswith(request.request_id):
             return "ANOTHER'S ANSWER"
-        begun = max(sent.at, connection.answers[i - 1][1]) if i else sent.at
-        if connection.kind != "slow reader" and at - begun > sent.wait + LATE + self.judge.lag:
+        started_at = max(request.sent_at, connection.answers[index - 1][1]) if index else request.sent_at
+        if (
+            connection.kind != "slow reader"
+            and answered_at - started_at > request.timeout + ANSWER_SLACK + self.checker.max_lag
+        ):
             return "LATE"
         return "served" if isinstance(answer, bytes) else "refused or failed"
 
 
-def gateway_configuration(address: str, hosts: list[dict], port: int, sockets: int) -> dict:
-    """A gateway whose quotas bind nobody, with a class of each kind."""
-    settings = options()
+def gateway_config(address: str, hosts: list[dict], port: int, sockets: int) -> dict:
+    """Returns a gateway configuration with a class per kind of idempotency and quotas that never limit."""
+    settings = raw_settings()
     settings["classes"].append({**settings["classes"][0], "name": "once", "repeat": "non_idempotent"})
-    settings["classes"][1]["dedup_window_s"] = WINDOW
-    settings["obligations"]["stop_sending_within_s"] = GRACE
-    for cls in settings["classes"]:
-        cls["give_up_s"] = 6.0
+    settings["classes"][1]["dedup_window_s"] = DEDUP_WINDOW
+    settings["obligations"]["stop_sending_within_s"] = DRAIN_GRACE
+    for request_class in settings["classes"]:
+        request_class["give_up_s"] = 6.0
     for plan in settings["contracts"]:
         plan.update(refill=500.0, burst=1000.0, max_out=0, cap_rate=0.0)
     limits = {"cores": 1.0, "memory_mb": 192, "sockets": sockets}
-    where = {"listen": f"{HOST}:{port}", "discovery": address}
+    addresses = {"listen": f"{HOST}:{port}", "discovery": address}
     known = {"seq": 1, "whole": True, "hosts": hosts}
-    return configuration(settings=settings, limits=limits, known=known, **where)
+    return raw_config(settings=settings, limits=limits, known=known, **addresses)
 
 
-async def play(options: argparse.Namespace) -> tuple[int, Counter[str], list[str]]:
-    """One day: the gateway's exit code, what became of the requests, and the day's troubles.
+async def play_day(options: argparse.Namespace) -> tuple[int, Counter[str], list[str]]:
+    """Plays one day; returns the gateway's exit code, counts of outcomes and violations, and the faults.
 
-    SIGTERM comes while clients go on, and SIGKILL at the earliest that the protocol allows.
+    The gateway is stopped while clients still send requests.
     """
-    judge = Judge(WINDOW, GRACE)
-    servers = [Server(f"s{i}", "ab"[i % 2], options.seed, judge) for i in range(SERVERS)]
+    checker = TermsChecker(DEDUP_WINDOW, DRAIN_GRACE)
+    servers = [FaultyTableServer(f"s{i}", "ab"[i % 2], options.seed, checker) for i in range(SERVER_COUNT)]
     entries = [await server.listen() for server in servers]
-    agents = [Agent(entries), Agent(entries)]
-    for agent in agents:
-        agent.address = await agent.listen()
+    discoveries = [FakeDiscovery(entries), FakeDiscovery(entries)]
+    for discovery in discoveries:
+        discovery.address = await discovery.listen()
     address = HOST, free_port()
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
-        config = gateway_configuration(agents[0].address, entries, address[1], options.sockets)
-        faults = Faults(folder, seed=options.seed)
-        judge.held_up = faults.held_up
-        troubles = Troubles(options.seed, faults, servers, agents, judge)
+        config = gateway_config(discoveries[0].address, entries, address[1], options.sockets)
+        injector = FaultInjector(folder, seed=options.seed)
+        checker.gateway_stall = injector.excess_stall
+        schedule = FaultSchedule(options.seed, injector, servers, discoveries, checker)
         path = folder / "config.json"
-        async with serving(path, config, tree=options.tree, **faults.environ) as gateway:
+        async with running_gateway(path, config, root=options.tree, **injector.environ) as gateway:
 
-            def configure(agent: str) -> None:
-                path.write_text(json.dumps(config | {"discovery": agent}))
+            def set_discovery(discovery_address: str) -> None:
+                path.write_text(json.dumps(config | {"discovery": discovery_address}))
                 gateway.send_signal(signal.SIGHUP)
 
-            troubles.configure = configure
+            schedule.set_discovery = set_discovery
             counts: Counter[str] = Counter()
             stopped = asyncio.Event()
-            clients = [Client(i, options.seed, address, counts, judge) for i in range(options.clients)]
-            playing = [asyncio.create_task(client.run(stopped)) for client in clients]
-            background = [asyncio.create_task(trouble()) for trouble in troubles.drawn]
-            background += [asyncio.create_task(judge.watch_lag())]
+            clients = [Client(i, options.seed, address, counts, checker) for i in range(options.clients)]
+            running_clients = [asyncio.create_task(client.run(stopped)) for client in clients]
+            background = [asyncio.create_task(fault()) for fault in schedule.selected]
+            background += [asyncio.create_task(checker.measure_lag())]
             await asyncio.sleep(options.seconds)
-            code = await end(gateway)
+            code = await stop_gateway(gateway)
             await asyncio.sleep(1.0)
             stopped.set()
-            await asyncio.gather(*playing)
+            await asyncio.gather(*running_clients)
             for task in background:
                 task.cancel()
-    counts.update(judge.faults)
-    return code, counts, [trouble.__name__ for trouble in troubles.drawn]
+    counts.update(checker.violations)
+    return code, counts, [fault.__name__ for fault in schedule.selected]
 
 
-async def end(gateway: subprocess.Popen) -> int:
-    """SIGTERM, signals in a row, and SIGKILL at its earliest; the exit code, negative where it was killed."""
-    begun = time.monotonic()
-    for again in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
-        gateway.send_signal(again)
+async def stop_gateway(gateway: subprocess.Popen) -> int:
+    """Sends SIGTERM, more signals, then SIGKILL after KILL_DELAY; returns the exit code (< 0: killed)."""
+    started_at = time.monotonic()
+    for signal_number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
+        gateway.send_signal(signal_number)
         await asyncio.sleep(0.05)
-    while gateway.poll() is None and time.monotonic() < begun + KILL:
+    while gateway.poll() is None and time.monotonic() < started_at + KILL_DELAY:
         await asyncio.sleep(0.005)
     gateway.kill()
     return await asyncio.to_thread(gateway.wait)
 
 
 async def main(options: argparse.Namespace) -> int:
-    """Play one day after another, and tell what was found."""
-    bad = 0
+    """Plays the days one after another and prints their results; returns 1 if any of them failed."""
+    failed_days = 0
     for seed in range(options.seed, options.seed + options.days):
         options.seed = seed
-        code, counts, troubles = await play(options)
+        code, counts, faults = await play_day(options)
         print(
-            f"seed {seed}: exit code {code}, {', '.join(troubles) or 'no trouble'}: {dict(counts)}",
+            f"seed {seed}: exit code {code}, {', '.join(faults) or 'no trouble'}: {dict(counts)}",
             flush=True,
         )
-        bad += code != 0 or any(fate.isupper() for fate in counts)
-    return int(bad > 0)
+        failed_days += code != 0 or any(outcome.isupper() for outcome in counts)
+    return int(failed_days > 0)
 
 
 if __name__ == "__main__":
--- a/tests/discoverykit.py
+++ b/tests/discoverykit.py
@@ -1,4 +1,4 @@
-"""Discovery as an agent that answers from a script; what the tests of discovery and of the process share."""
+"""Fake discovery servers over HTTP: one that plays scripted responses, one that holds a list of servers."""
 
 from __future__ import annotations
 
@@ -11,18 +11,28 @@
 from aiohttp import web
 from netkit import HOST
 
-ENTRY = {"host": "s1", "dial": "127.0.0.1:1", "site": "a", "block": 0, "health": "Ready", "share": 1.0}
-SILENT = "a call that is never answered"
+SERVER_ENTRY = {
+    "host": "s1",
+    "dial": "127.0.0.1:1",
+    "site": "a",
+    "block": 0,
+    "health": "Ready",
+    "share": 1.0,
+}
+NO_ANSWER = "a call that is never answered"
 
 
-def whole(version: int, *entries: dict, complete: bool = True) -> web.Response:
-    return web.json_response({"seq": version, "whole": complete, "hosts": list(entries)})
+def hosts_response(version: int, *entries: dict, snapshot: bool = True) -> web.Response:
+    """Returns the HTTP response for a list: a snapshot, or a delta with the changed entries alone."""
+    return web.json_response({"seq": version, "whole": snapshot, "hosts": list(entries)})
 
 
-async def discovery(answers: list, at: socket.socket | None = None) -> tuple[str, list[str]]:
-    """An agent with an answer for each call, or a coroutine function that gives it, silent after the last.
+async def scripted_discovery(answers: list, listener: socket.socket | None = None) -> tuple[str, list[str]]:
+    """Starts a discovery server that gives one answer per call, and none after the last.
 
-    It listens at a socket or a new one; returned are its address and its calls.
+    An answer is a response, a coroutine function that returns one, NO_ANSWER, or None to abort the
+    connection. Listens on the given socket or a new one. Returns the address and the paths of the calls,
+    which grow as calls arrive.
     """
     calls: list[str] = []
 
@@ -31,7 +41,7 @@
         if len(calls) > len(answers):
             await asyncio.sleep(60)
         answer = answers[len(calls) - 1]
-        if answer == SILENT:
+        if answer == NO_ANSWER:
             await asyncio.sleep(60)
         if callable(answer):
             answer = await answer()
@@ -43,51 +53,52 @@
     app.router.add_get("/discovery/hosts", handle)
     runner = web.AppRunner(app, shutdown_timeout=0.1)
     await runner.setup()
-    site = web.SockSite(runner, at) if at else web.TCPSite(runner, HOST, 0)
+    site = web.SockSite(runner, listener) if listener else web.TCPSite(runner, HOST, 0)
     await site.start()
     return "{}:{}".format(*site._server.sockets[0].getsockname()), calls
 
 
-class Agent:
-    """An agent that holds a list and its changes, and answers a delay after it knows what to say."""
+class FakeDiscovery:
+    """A discovery server with snapshots and long polls; each response is sent `delay` seconds late."""
 
     def __init__(self, entries: Sequence[dict], delay: float = 0.0) -> None:
         self.entries = {entry["host"]: entry for entry in entries}
-        self.delay, self.version, self.news = delay, 1, asyncio.Event()
-        self.versions = dict.fromkeys(self.entries, 1)  # of each entry's last change
-        self.silent_before = 0.0  # calls that came before this time are never answered
-        self.calls, self.sent = 0, 0  # that have come; bytes of lists, also to who has gone meanwhile
+        self.delay, self.version, self.changed = delay, 1, asyncio.Event()
+        self.entry_versions = dict.fromkeys(self.entries, 1)  # host -> version of its last change
+        self.unanswered_before = 0.0  # monotonic time: calls received earlier are never answered
+        self.calls, self.bytes_sent = 0, 0  # calls received; bytes of bodies, also to closed connections
 
     async def listen(self) -> str:
-        """Its address."""
+        """Starts the server and returns its address."""
         app = web.Application()
-        app.router.add_get("/discovery/hosts", self.answer)
+        app.router.add_get("/discovery/hosts", self.handle_hosts)
         self.runner = web.AppRunner(app, shutdown_timeout=0.1)
         await self.runner.setup()
         site = web.TCPSite(self.runner, HOST, 0)
         await site.start()
         return "{}:{}".format(*site._server.sockets[0].getsockname())
 
-    def change(self, host: str, **fields: object) -> None:
-        """The next version, in which an entry has other fields."""
+    def update_entry(self, host: str, **fields: object) -> None:
+        """Changes fields of one entry in a new version and wakes the long polls."""
         self.version += 1
         self.entries[host] = self.entries[host] | fields
-        self.versions[host] = self.version
-        self.news.set()
-        self.news = asyncio.Event()
+        self.entry_versions[host] = self.version
+        self.changed.set()
+        self.changed = asyncio.Event()
 
-    async def answer(self, request: web.Request) -> web.Response:
+    async def handle_hosts(self, request: web.Request) -> web.Response:
+        """Answers with a snapshot, or with the changes since a version once there are any."""
         self.calls += 1
-        came, since = time.monotonic(), request.query.get("since")
+        received_at, since = time.monotonic(), request.query.get("since")
         if since is not None and int(since) >= self.version:
             with suppress(TimeoutError):
                 async with asyncio.timeout(int(request.query["timeout_ms"]) / 1000):
-                    await self.news.wait()
+                    await self.changed.wait()
         known = 0 if since is None else int(since)
-        told = [entry for host, entry in self.entries.items() if self.versions[host] > known]
-        response = whole(self.version, *told, complete=since is None)
+        entries = [entry for host, entry in self.entries.items() if self.entry_versions[host] > known]
+        response = hosts_response(self.version, *entries, snapshot=since is None)
         await asyncio.sleep(self.delay)
-        if came < self.silent_before:
+        if received_at < self.unanswered_before:
             await asyncio.sleep(60)
-        self.sent += len(response.body)
+        self.bytes_sent += len(response.body)
         return response
--- a/tests/faultkit.py
+++ b/tests/faultkit.py
@@ -1,4 +1,7 @@
-"""The program as a process whose system calls fail, stall or read a stepped clock (tests/faults.c)."""
+"""Fault injection into a gateway process: an LD_PRELOAD library (tests/faults.c) and its control file.
+
+System calls fail, are interrupted or stall, and the wall clock steps.
+"""
 
 from __future__ import annotations
 
@@ -13,10 +16,10 @@
 
 import pytest
 
-SOURCE = Path(__file__).with_name("faults.c")
-FIELDS = (  # of `struct control`; shares are out of 1,000 calls
+FAULTS_SOURCE = Path(__file__).with_name("faults.c")
+CONTROL_FIELDS = (  # of `struct control` in faults.c, in its order; *_share: of 1,000 calls
     "clock_step_ms",
-    "error",
+    "error",  # errno of calls that fail
     "socket_share",
     "accept_share",
     "connect_share",
@@ -27,41 +30,41 @@
     "stall_share",
     "stall_ms",
     "seed",
-    "stalled_ms",  # told by the process: its longest hold-up
+    "longest_stall_ms",  # written by the process
 )
 
 
 @functools.cache
-def library() -> Path:
-    """The compiled library; the test is skipped where there is no C compiler."""
+def build_library() -> Path:
+    """Compiles faults.c and returns the shared library; skips the test if there is no C compiler."""
     compiler = shutil.which("cc")
     if compiler is None:
-        pytest.skip("no C compiler (cc): system calls can't be made to fail here")
+        pytest.skip("fault injection needs a C compiler (cc), and none was found")
     path = Path(tempfile.mkdtemp(prefix="faults-")) / "faults.so"
-    subprocess.run([compiler, "-O1", "-shared", "-fPIC", "-o", path, SOURCE, "-ldl"], check=True)
+    subprocess.run([compiler, "-O1", "-shared", "-fPIC", "-o", path, FAULTS_SOURCE, "-ldl"], check=True)
     return path
 
 
-class Faults:
-    """The faults of one process: `set` changes them while it runs, `environ` goes into its environment."""
+class FaultInjector:
+    """Controls the faults of one process while it runs; start the process with `environ`."""
 
     def __init__(self, folder: Path, **fields: int) -> None:
         self.path = folder / "faults"
-        self.path.write_bytes(bytes(8 * len(FIELDS)))
+        self.path.write_bytes(bytes(8 * len(CONTROL_FIELDS)))
         with self.path.open("r+b") as file:
-            self.map = mmap.mmap(file.fileno(), 8 * len(FIELDS))
-        self.environ = {"LD_PRELOAD": os.fspath(library()), "FAULTS_CONTROL": os.fspath(self.path)}
+            self.control = mmap.mmap(file.fileno(), 8 * len(CONTROL_FIELDS))
+        self.environ = {"LD_PRELOAD": os.fspath(build_library()), "FAULTS_CONTROL": os.fspath(self.path)}
         self.set(**{"seed": 1} | fields)
 
-    def held_up(self) -> float:
-        """Seconds by which a hold-up took longer than it was set to, at the most: the machine was busy."""
-        longest, most = self.get("stalled_ms"), self.get("stall_ms")
-        return max(0, longest - most) / 1000
+    def excess_stall(self) -> float:
+        """Returns the seconds by which the longest stall exceeded stall_ms, as on a busy machine."""
+        longest, configured = self.get("longest_stall_ms"), self.get("stall_ms")
+        return max(0, longest - configured) / 1000
 
     def get(self, name: str) -> int:
-        return struct.unpack_from("q", self.map, 8 * FIELDS.index(name))[0]
+        return struct.unpack_from("q", self.control, 8 * CONTROL_FIELDS.index(name))[0]
 
     def set(self, **fields: int) -> None:
-        """Set fields by name; the others stay as they are."""
+        """Sets the named control fields; the others keep their values."""
         for name, value in fields.items():
-            struct.pack_into("q", self.map, 8 * FIELDS.index(name), value)
+            struct.pack_into("q", self.control, 8 * CONTROL_FIELDS.index(name), value)
--- a/tests/fleet_needs.py
+++ b/tests/fleet_needs.py
@@ -1,8 +1,8 @@
-"""What one gateway needs with 200 and with 3,200 table servers, the rest being the same. Run by hand.
+"""Compares the resources that a gateway uses with 200 and with 3,200 table servers. Run by hand.
 
     python tests/fleet_needs.py
 
-prints what the operators' table bounds, beside the bound, and ends with 1 where one is passed.
+Prints each resource with the operators' bound; the exit code is 1 if a bound is exceeded.
 """
 
 from __future__ import annotations
@@ -19,31 +19,42 @@
 from pathlib import Path
 
 import uvloop
-from discoverykit import ENTRY, Agent
-from netkit import CUSTOMER, HOST, ID, Wire, command, configuration, options, served
-from processkit import ROOT, free_port, serving
-
-USUAL, LARGE = 200, 3200
-RATE, SECONDS = 50.0, 20.0  # requests each second, and for how long
-WORK = 0.05  # s of a request in the mean
-TICKS = os.sysconf("SC_CLK_TCK")
+from discoverykit import SERVER_ENTRY, FakeDiscovery
+from netkit import (
+    CUSTOMER_ID,
+    HOST,
+    REQUEST_ID,
+    RespConnection,
+    pack_request,
+    raw_config,
+    raw_settings,
+    success_reply,
+)
+from processkit import ROOT, free_port, running_gateway
+
+BASELINE_SERVERS = 200
+LARGE_SERVERS = 3200
+REQUEST_RATE = 50.0  # per second
+DURATION = 20.0  # seconds
+MEAN_SERVICE_TIME = 0.05  # seconds
+CLOCK_TICKS = os.sysconf("SC_CLK_TCK")  # per second of processor time
 
 
 @dataclass
-class Needs:
-    """What a gateway took for a play."""
+class ResourceUsage:
+    """What a gateway used during a run."""
 
-    cpu: float = 0.0  # s
-    memory: float = 0.0  # MB at the most
-    descriptors: int = 0  # at the most
+    cpu: float = 0.0  # seconds
+    memory: float = 0.0  # MiB, peak
+    descriptors: int = 0  # peak
     connections: int = 0  # made to table servers
-    list_bytes: int = 0
-    served: int = 0
+    list_bytes: int = 0  # of server lists received
+    served: int = 0  # requests
 
-    def bounds(self, servers: int) -> Needs:
-        """What so many servers may take, where this is what the usual number took."""
+    def bounds(self, servers: int) -> ResourceUsage:
+        """Returns the operators' bounds for this many servers, where this is the baseline's usage."""
         thousands = servers / 1000
-        return Needs(
+        return ResourceUsage(
             1.4 * self.cpu + 0.02 + 0.12 * thousands,
             1.5 * self.memory + 8 + 4 * thousands,
             2 * self.descriptors + 40,
@@ -53,76 +64,80 @@
         )
 
 
-class Fleet:
-    """Table servers in this process, and a discovery that tells of them."""
+class TableServers:
+    """Table servers in this process, with exponentially distributed service times."""
 
     def __init__(self, count: int) -> None:
-        self.count, self.made, self.rng = count, 0, random.Random(1)
+        self.count, self.connections_made, self.rng = count, 0, random.Random(1)
 
     async def listen(self) -> list[dict]:
+        """Starts the servers and returns their discovery entries."""
         entries = []
         for i in range(self.count):
             listener = await asyncio.start_server(self.serve, HOST, 0)
             dial = "{}:{}".format(*listener.sockets[0].getsockname())
-            entries.append(ENTRY | {"host": f"s-{i:08x}", "dial": dial, "class": "m2", "born_ms": 0})
+            entries.append(SERVER_ENTRY | {"host": f"s-{i:08x}", "dial": dial, "class": "m2", "born_ms": 0})
         return entries
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.made += 1
-        wire = Wire(reader, writer)
+        self.connections_made += 1
+        connection = RespConnection(reader, writer)
         with suppress(EOFError, ConnectionError, TimeoutError):
             while True:
-                words = await wire.read()
-                await asyncio.sleep(self.rng.expovariate(1 / WORK))
-                wire.write(served(words[2]))
+                words = await connection.read()
+                await asyncio.sleep(self.rng.expovariate(1 / MEAN_SERVICE_TIME))
+                connection.write(success_reply(words[2]))
 
 
-async def play(servers: int) -> Needs:
-    fleet, needs = Fleet(servers), Needs()
-    entries = await fleet.listen()
-    agent = Agent(entries)
-    settings = options()
+async def measure(server_count: int) -> ResourceUsage:
+    """Runs a gateway with this many table servers under load and returns what it used."""
+    servers, usage = TableServers(server_count), ResourceUsage()
+    entries = await servers.listen()
+    discovery = FakeDiscovery(entries)
+    settings = raw_settings()
     settings["contracts"][0] |= {"refill": 10**4, "burst": 10**5}
     limits = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
-    discovery, port = await agent.listen(), free_port()
-    where = {"listen": f"{HOST}:{port}", "discovery": discovery, "known": None}
-    config = configuration(settings=settings, limits=limits, **where)
+    discovery_address, port = await discovery.listen(), free_port()
+    addresses = {"listen": f"{HOST}:{port}", "discovery": discovery_address, "known": None}
+    config = raw_config(settings=settings, limits=limits, **addresses)
     with tempfile.TemporaryDirectory() as folder:
-        async with serving(Path(folder) / "config.json", config) as process:
-            asking, rng, began = [], random.Random(1), time.monotonic()
-            while time.monotonic() < began + SECONDS:
-                asking.append(asyncio.create_task(ask(port, len(asking), needs)))
-                await asyncio.sleep(rng.expovariate(RATE))
-                needs.descriptors = max(needs.descriptors, len(os.listdir(f"/proc/{process.pid}/fd")))
-            await asyncio.gather(*asking)
+        async with running_gateway(Path(folder) / "config.json", config) as process:
+            requests, rng, started_at = [], random.Random(1), time.monotonic()
+            while time.monotonic() < started_at + DURATION:
+                requests.append(asyncio.create_task(send_request(port, len(requests), usage)))
+                await asyncio.sleep(rng.expovariate(REQUEST_RATE))
+                usage.descriptors = max(usage.descriptors, len(os.listdir(f"/proc/{process.pid}/fd")))
+            await asyncio.gather(*requests)
             stat = Path(f"/proc/{process.pid}/stat").read_text().rsplit(")", 1)[1].split()
-            needs.cpu = (int(stat[11]) + int(stat[12])) / TICKS
+            usage.cpu = (int(stat[11]) + int(stat[12])) / CLOCK_TICKS
             status = Path(f"/proc/{process.pid}/status").read_text()
-            needs.memory = int(status.split("VmHWM:")[1].split()[0]) / 1024
-    needs.connections, needs.list_bytes = fleet.made, agent.sent
-    return needs
+            usage.memory = int(status.split("VmHWM:")[1].split()[0]) / 1024
+    usage.connections, usage.list_bytes = servers.connections_made, discovery.bytes_sent
+    return usage
 
 
-async def ask(port: int, number: int, needs: Needs) -> None:
-    """One request of a customer of its own, on a connection of its own."""
-    client = Wire(*await asyncio.open_connection(HOST, port))
-    client.write(command().replace(ID, b"%016x" % number).replace(CUSTOMER, b"%016x" % number))
+async def send_request(port: int, number: int, usage: ResourceUsage) -> None:
+    """Sends one request of a separate customer on a new connection, and counts it if it is served."""
+    client = RespConnection(*await asyncio.open_connection(HOST, port))
+    client.write(
+        pack_request().replace(REQUEST_ID, b"%016x" % number).replace(CUSTOMER_ID, b"%016x" % number)
+    )
     answer = await client.read()
-    needs.served += isinstance(answer, bytes)
+    usage.served += isinstance(answer, bytes)
     client.writer.close()
 
 
 async def main() -> int:
     resource.setrlimit(resource.RLIMIT_NOFILE, (resource.getrlimit(resource.RLIMIT_NOFILE)[1],) * 2)
-    usual = await play(USUAL)
-    large, most = await play(LARGE), usual.bounds(LARGE)
-    passed = 0
-    for name in vars(usual):
-        values = [getattr(each, name) for each in (usual, large, most)]
-        fault = values[1] < values[2] if name == "served" else values[1] > values[2]
-        passed += fault
-        print(f"{name}: {values[0]:.5g} -> {values[1]:.5g}, bound {values[2]:.5g}{' PASSED' * fault}")
-    return int(passed > 0)
+    baseline = await measure(BASELINE_SERVERS)
+    large, bounds = await measure(LARGE_SERVERS), baseline.bounds(LARGE_SERVERS)
+    exceeded = 0
+    for name in vars(baseline):
+        values = [getattr(usage, name) for usage in (baseline, large, bounds)]
+        violated = values[1] < values[2] if name == "served" else values[1] > values[2]
+        exceeded += violated
+        print(f"{name}: {values[0]:.5g} -> {values[1]:.5g}, bound {values[2]:.5g}{' PASSED' * violated}")
+    return int(exceeded > 0)
 
 
 if __name__ == "__main__":
--- a/tests/fleetkit.py
+++ b/tests/fleetkit.py
@@ -1,4 +1,4 @@
-"""A fleet of gateways and its table servers on one simulated clock, without sockets; a seed gives the day."""
+"""A simulated fleet: gateways, table servers and seeded random traffic on one clock, without sockets."""
 
 from __future__ import annotations
 
@@ -14,200 +14,259 @@
 from thymehinge.emulator.clock import Clock
 from thymehinge.interface import Result
 
-WIRE = 0.002  # s one way between a gateway and a table server
-CLASSES = {  # share of the requests and work of one, in requests of mean work
+NETWORK_DELAY = 0.002  # seconds one way between a gateway and a table server
+CLASS_MIX = {  # share of all requests, and mean work of one in units of the overall mean
     api.RequestClass("lookup", latency_target=1.0, timeout=3.0): (2 / 3, 0.6),
     api.RequestClass("report", latency_target=2.0, timeout=5.0): (1 / 3, 1.8),
 }
-SHAPE = 2.0  # of the gamma distribution of a request's work within its class: a spread of 0.7
-FIRST = 12.0  # s after its start over which the use of a cold server is looked at
+WORK_SHAPE = 2.0  # of the gamma distribution of work within a class
+EARLY_PERIOD = 12.0  # seconds after its start in which the utilization of a cold server is measured
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt on its way, at work or over; gateway -1 is load from elsewhere."""
+    """One attempt of a request at a table server; gateway -1 stands for background load."""
 
     gateway: int
     work: float
-    life: int = 0
+    incarnation: int = 0
     request: int = 0
-    number: int = 0
+    index: int = 0
     server: str = ""
-    sent: float = 0.0
-    over: bool = False
+    sent_at: float = 0.0
+    finished: bool = False
 
 
 @dataclass(slots=True, eq=False)
 class TableServer:
-    """Cores that take from one queue in order; a full queue rejects."""
+    """Cores that serve one FIFO queue; attempts beyond the queue limit are rejected."""
 
     entry: api.Server
     cores: int
-    room: int
-    busy: int = 0
+    queue_limit: int
+    busy_cores: int = 0
     queue: deque[Attempt] = field(default_factory=deque)
-    sent: list[tuple[float, float]] = field(default_factory=list)  # when gateways sent how much work
-    taken: list[tuple[float, float]] = field(default_factory=list)  # the same without what was rejected
+    sent_work: list[tuple[float, float]] = field(default_factory=list)  # (time sent, work), from gateways
+    accepted_work: list[tuple[float, float]] = field(default_factory=list)  # (time received, work)
 
 
 class FleetModel(Clock):
-    """Gateways, table servers and Poisson traffic; `weights` spread the traffic over the gateways."""
+    """Gateways, table servers and Poisson traffic.
+
+    `weights` distribute the requests over the gateways, `rate` is in requests per second and
+    `mean_service_time` in seconds.
+    """
 
     def __init__(
-        self, settings: dict[str, object], weights: Sequence[float], seed: int, rate: float, work: float = 0.2
+        self,
+        settings: dict[str, object],
+        weights: Sequence[float],
+        seed: int,
+        rate: float,
+        mean_service_time: float = 0.2,
     ) -> None:
         super().__init__(seed)
-        self.rng, self.rate, self.work, self.requests = random.Random(seed), rate, work, 0
+        self.rng, self.request_rate, self.mean_service_time, self.request_count = (
+            random.Random(seed),
+            rate,
+            mean_service_time,
+            0,
+        )
         self.settings = [
             api.Settings(
-                tuple(CLASSES), (api.Plan("open"),), gateway_index=i, gateway_count=len(weights), **settings
+                tuple(CLASS_MIX), (api.Plan("open"),), gateway_index=i, gateway_count=len(weights), **settings
             )
             for i in range(len(weights))
         ]
-        self.sums = list(accumulate(weights))
+        self.cumulative_weights = list(accumulate(weights))
         self.servers: dict[str, TableServer] = {}
-        self.listed: tuple[api.Server, ...] = ()
-        self.lives = [0] * len(weights)
+        self.server_list: tuple[api.Server, ...] = ()
+        self.incarnations = [0] * len(weights)
         self.gateways = [Gateway(s, self.rng.getrandbits(32), self.now) for s in self.settings]
         self.attempts: list[dict[int, list[Attempt]]] = [{} for _ in weights]
-        self.jobs: list[dict[int, float]] = [{} for _ in weights]  # requests in hand and their work
-        self.call_later(0.0, self.arrive)
+        self.pending_work: list[dict[int, float]] = [{} for _ in weights]  # request -> its work
+        self.call_later(0.0, self.generate_request)
+
+    # Events of a scenario.
+
+    def add_server(
+        self,
+        name: str,
+        cores: int = 4,
+        queue_limit: int = 80,
+        cold: bool = True,
+        background_load: float = 0.0,
+    ) -> None:
+        """Starts a table server now; background load is a fraction of its capacity."""
+        entry = api.Server(name, started_at=self.now if cold else 0.0)
+        self.servers[name] = TableServer(entry, cores, queue_limit)
+        if background_load > 0:
+            self.call_later(
+                0.0,
+                self.generate_background,
+                self.servers[name],
+                background_load * cores / self.mean_service_time,
+            )
 
-    # What a day does.
+    def publish_list(self, names: Sequence[str], spread: float = 0.0) -> None:
+        """Sends a snapshot to all gateways, to each within `spread` seconds."""
+        self.server_list = tuple(self.servers[name].entry for name in names)
+        for index in range(len(self.gateways)):
+            self.call_later(self.rng.uniform(0, spread), self.deliver_list, index, self.server_list)
 
-    def add(self, name: str, cores: int = 4, room: int = 80, cold: bool = True, other: float = 0.0) -> None:
-        """A table server that starts now; `other` is load from elsewhere, as a part of its capacity."""
-        entry = api.Server(name, started_at=self.now if cold else 0.0)
-        self.servers[name] = TableServer(entry, cores, room)
-        if other > 0:
-            self.call_later(0.0, self.foreign, self.servers[name], other * cores / self.work)
-
-    def tell(self, names: Sequence[str], spread: float = 0.0) -> None:
-        """A whole list to all gateways, to each within the spread of seconds."""
-        self.listed = tuple(self.servers[name].entry for name in names)
-        for i in range(len(self.gateways)):
-            self.call_later(self.rng.uniform(0, spread), self.list_to, i, self.listed)
-
-    def list_to(self, i: int, listed: tuple[api.Server, ...]) -> None:
-        self.give(i, self.lives[i], api.ServerList(api.ListKind.SNAPSHOT, 1, listed))
-
-    def restart(self, share: float, spread: float = 0.0) -> None:
-        """A share of the gateways is killed and begins anew with the list."""
-        for i in self.rng.sample(range(len(self.gateways)), round(share * len(self.gateways))):
-            self.call_later(self.rng.uniform(0, spread), self.begin, i)
-
-    def begin(self, i: int) -> None:
-        self.lives[i] += 1
-        self.gateways[i] = Gateway(self.settings[i], self.rng.getrandbits(32), self.now)
-        self.attempts[i], self.jobs[i] = {}, {}
-        self.list_to(i, self.listed)
+    def deliver_list(self, index: int, servers: tuple[api.Server, ...]) -> None:
+        self.deliver(index, self.incarnations[index], api.ServerList(api.ListKind.SNAPSHOT, 1, servers))
 
-    # Traffic and table servers.
+    def restart_gateways(self, share: float, spread: float = 0.0) -> None:
+        """Restarts a random share of the gateways, each within `spread` seconds."""
+        for index in self.rng.sample(range(len(self.gateways)), round(share * len(self.gateways))):
+            self.call_later(self.rng.uniform(0, spread), self.restart_gateway, index)
 
-    def arrive(self) -> None:
-        self.call_later(self.rng.expovariate(self.rate), self.arrive)
-        i = self.rng.choices(range(len(self.sums)), cum_weights=self.sums)[0]
-        cls = self.rng.choices(list(CLASSES), [share for share, _ in CLASSES.values()])[0]
-        self.requests += 1
-        self.jobs[i][self.requests] = CLASSES[cls][1] * self.rng.gammavariate(SHAPE, 1 / SHAPE)
-        customer = self.rng.randrange(4)
-        self.give(i, self.lives[i], api.Request(self.requests, cls.timeout, cls.name, "open", customer))
+    def restart_gateway(self, index: int) -> None:
+        """Replaces a gateway by a new one with the current list; its requests are lost."""
+        self.incarnations[index] += 1
+        self.gateways[index] = Gateway(self.settings[index], self.rng.getrandbits(32), self.now)
+        self.attempts[index], self.pending_work[index] = {}, {}
+        self.deliver_list(index, self.server_list)
 
-    def foreign(self, server: TableServer, rate: float) -> None:
-        self.call_later(self.rng.expovariate(rate), self.foreign, server, rate)
-        self.reach(server, Attempt(-1, self.rng.gammavariate(SHAPE, 1 / SHAPE)))
+    # Traffic and table servers.
 
-    def give(self, i: int, life: int, event: api.Event) -> None:
-        if life != self.lives[i]:
+    def generate_request(self) -> None:
+        """Gives one request to a random gateway and schedules the next."""
+        self.call_later(self.rng.expovariate(self.request_rate), self.generate_request)
+        index = self.rng.choices(range(len(self.cumulative_weights)), cum_weights=self.cumulative_weights)[0]
+        request_class = self.rng.choices(list(CLASS_MIX), [share for share, _ in CLASS_MIX.values()])[0]
+        self.request_count += 1
+        self.pending_work[index][self.request_count] = CLASS_MIX[request_class][1] * self.rng.gammavariate(
+            WORK_SHAPE, 1 / WORK_SHAPE
+        )
+        customer = self.rng.randrange(4)
+        self.deliver(
+            index,
+            self.incarnations[index],
+            api.Request(self.request_count, request_class.timeout, request_class.name, "open", customer),
+        )
+
+    def generate_background(self, server: TableServer, rate: float) -> None:
+        """Sends one attempt of background load to a server and schedules the next; `rate` is per second."""
+        self.call_later(self.rng.expovariate(rate), self.generate_background, server, rate)
+        self.receive(server, Attempt(-1, self.rng.gammavariate(WORK_SHAPE, 1 / WORK_SHAPE)))
+
+    def deliver(self, index: int, incarnation: int, event: api.Event) -> None:
+        """Passes an event to a gateway, unless that has restarted since, and performs its actions."""
+        if incarnation != self.incarnations[index]:
             return
-        for action in self.gateways[i].handle(self.now, event):
+        for action in self.gateways[index].handle(self.now, event):
             match action:
                 case api.SetTimer():
                     self.call_later(
-                        max(0.0, action.due_at - self.now), self.give, i, life, api.TimerDue(action.tag)
+                        max(0.0, action.due_at - self.now),
+                        self.deliver,
+                        index,
+                        incarnation,
+                        api.TimerDue(action.tag),
                     )
                 case api.Send():
-                    tries = self.attempts[i].setdefault(action.request_id, [])
-                    work, server = self.jobs[i][action.request_id], self.servers[action.server]
-                    a = Attempt(i, work, life, action.request_id, len(tries), action.server, self.now)
-                    tries.append(a)
-                    server.sent.append((self.now, work))
-                    self.call_later(WIRE, self.reach, server, a)
-                    self.call_later(action.deadline - self.now, self.end, a, Result.TIMEOUT)
+                    attempts = self.attempts[index].setdefault(action.request_id, [])
+                    work, server = self.pending_work[index][action.request_id], self.servers[action.server]
+                    attempt = Attempt(
+                        index, work, incarnation, action.request_id, len(attempts), action.server, self.now
+                    )
+                    attempts.append(attempt)
+                    server.sent_work.append((self.now, work))
+                    self.call_later(NETWORK_DELAY, self.receive, server, attempt)
+                    self.call_later(action.deadline - self.now, self.finish_attempt, attempt, Result.TIMEOUT)
                 case api.Cancel():
-                    self.end(self.attempts[i][action.request_id][action.attempt], Result.CANCELLED)
+                    self.finish_attempt(
+                        self.attempts[index][action.request_id][action.attempt], Result.CANCELLED
+                    )
 
-    def warmth(self, server: TableServer, now: float) -> float:
-        s, age = self.settings[0], now - server.entry.started_at
-        if server.entry.started_at <= 0 or age >= s.slow_start_duration:
+    def capacity_fraction(self, server: TableServer, now: float) -> float:
+        """Returns the fraction of its full speed that a server has reached, 1 once it is warm."""
+        settings, age = self.settings[0], now - server.entry.started_at
+        if server.entry.started_at <= 0 or age >= settings.slow_start_duration:
             return 1.0
-        return s.slow_start_capacity + (1 - s.slow_start_capacity) * age / s.slow_start_duration
-
-    def reach(self, server: TableServer, a: Attempt) -> None:
-        if server.busy >= server.cores and len(server.queue) >= server.room:
-            return self.call_later(WIRE, self.end, a, Result.REJECTED)
-        if a.gateway >= 0:
-            server.taken.append((self.now, a.work))
-        if server.busy < server.cores:
-            self.serve(server, a)
+        return (
+            settings.slow_start_capacity
+            + (1 - settings.slow_start_capacity) * age / settings.slow_start_duration
+        )
+
+    def receive(self, server: TableServer, attempt: Attempt) -> None:
+        """An attempt reaches a server, which starts, queues or rejects it."""
+        if server.busy_cores >= server.cores and len(server.queue) >= server.queue_limit:
+            return self.call_later(NETWORK_DELAY, self.finish_attempt, attempt, Result.REJECTED)
+        if attempt.gateway >= 0:
+            server.accepted_work.append((self.now, attempt.work))
+        if server.busy_cores < server.cores:
+            self.start_work(server, attempt)
         else:
-            server.queue.append(a)
-
-    def serve(self, server: TableServer, a: Attempt) -> None:
-        server.busy += 1
-        self.call_later(a.work * self.work / self.warmth(server, self.now), self.served, server, a)
-
-    def served(self, server: TableServer, a: Attempt) -> None:
-        server.busy -= 1
-        while server.queue and server.busy < server.cores:
+            server.queue.append(attempt)
+
+    def start_work(self, server: TableServer, attempt: Attempt) -> None:
+        server.busy_cores += 1
+        self.call_later(
+            attempt.work * self.mean_service_time / self.capacity_fraction(server, self.now),
+            self.finish_work,
+            server,
+            attempt,
+        )
+
+    def finish_work(self, server: TableServer, attempt: Attempt) -> None:
+        """Frees a core, starts queued attempts that are still wanted, and answers."""
+        server.busy_cores -= 1
+        while server.queue and server.busy_cores < server.cores:
             following = server.queue.popleft()
-            if not following.over:
-                self.serve(server, following)
-        self.call_later(WIRE, self.end, a, Result.OK)
+            if not following.finished:
+                self.start_work(server, following)
+        self.call_later(NETWORK_DELAY, self.finish_attempt, attempt, Result.OK)
 
-    def end(self, a: Attempt, result: Result) -> None:
-        if a.over or a.gateway < 0:
+    def finish_attempt(self, attempt: Attempt, result: Result) -> None:
+        """Reports the outcome of an attempt to its gateway, once."""
+        if attempt.finished or attempt.gateway < 0:
             return
-        a.over, final = True, result in (Result.OK, Result.CANCELLED)
-        outcome = api.Outcome(a.request, a.number, a.server, result, self.now - a.sent, final)
-        self.call_later(0.0, self.give, a.gateway, a.life, outcome)
+        attempt.finished, final = True, result in (Result.OK, Result.CANCELLED)
+        outcome = api.Outcome(
+            attempt.request, attempt.index, attempt.server, result, self.now - attempt.sent_at, final
+        )
+        self.call_later(0.0, self.deliver, attempt.gateway, attempt.incarnation, outcome)
 
-    # What a day showed.
+    # Results of a scenario.
 
-    def excess(self) -> tuple[float, bool]:
-        """Work sent less N in the worst window, in units of root N; whether all windows kept to chance.
+    def worst_excess(self) -> tuple[float, bool]:
+        """Returns how far the work sent to a cold server exceeded the limit N in the worst window.
 
-        Windows of the cold servers are counted up to a send, when they are fullest.
+        The excess is in units of sqrt(N); the flag tells whether all windows stayed within
+        N + 2 sqrt(N) + 2. Windows end at a send, where the sum is largest.
         """
-        s, worst, held = self.settings[0], -math.inf, True
+        settings, worst, within_limit = self.settings[0], -math.inf, True
         for server in (s for s in self.servers.values() if s.entry.started_at > 0):
             window, total = deque[tuple[float, float]](), 0.0
-            for at, work in (
-                x for x in server.sent if x[0] < server.entry.started_at + s.slow_start_duration
+            for sent_at, work in (
+                x for x in server.sent_work if x[0] < server.entry.started_at + settings.slow_start_duration
             ):
-                window.append((at, work))
+                window.append((sent_at, work))
                 total += work
-                while window[0][0] <= at - s.overload_window:
+                while window[0][0] <= sent_at - settings.overload_window:
                     total -= window.popleft()[1]
-                n = (
-                    s.overload_multiple
-                    * self.warmth(server, at)
+                limit = (
+                    settings.overload_multiple
+                    * self.capacity_fraction(server, sent_at)
                     * server.cores
-                    / self.work
-                    * s.overload_window
+                    / self.mean_service_time
+                    * settings.overload_window
                 )
-                worst = max(worst, (total - n) / math.sqrt(n))
-                held = held and total <= n + 2 * math.sqrt(n) + 2
-        return worst, held
+                worst = max(worst, (total - limit) / math.sqrt(limit))
+                within_limit = within_limit and total <= limit + 2 * math.sqrt(limit) + 2
+        return worst, within_limit
 
-    def use(self) -> float:
-        """What cold servers took in their first seconds, as a part of an even share of what all took then."""
-        got = even = 0.0
+    def cold_utilization(self) -> float:
+        """Returns the work that cold servers accepted in EARLY_PERIOD, relative to an even share of it."""
+        accepted = even_share = 0.0
         for server in (s for s in self.servers.values() if s.entry.started_at > 0):
-            until = server.entry.started_at + FIRST
-            got += sum(work for at, work in server.taken if at < until)
-            taken = (item for other in self.servers.values() for item in other.taken)
-            even += sum(work for at, work in taken if server.entry.started_at <= at < until) / len(
-                self.listed
+            end = server.entry.started_at + EARLY_PERIOD
+            accepted += sum(work for at, work in server.accepted_work if at < end)
+            all_work = (item for other in self.servers.values() for item in other.accepted_work)
+            even_share += sum(work for at, work in all_work if server.entry.started_at <= at < end) / len(
+                self.server_list
             )
-        return got / even if even else 0.0
+        return accepted / even_share if even_share else 0.0
--- a/tests/netkit.py
+++ b/tests/netkit.py
@@ -1,4 +1,4 @@
-"""A gateway in this process, scripted servers and bare clients on loopback. Nothing here generates load."""
+"""Test harness of the network part: a gateway in this process, with RESP clients and servers on loopback."""
 
 from __future__ import annotations
 
@@ -18,12 +18,14 @@
 from thymehinge.net.discovery import HostList, read_list
 from thymehinge.net.driver import Driver, anchored_clock
 
-HOST, CUSTOMER, ID = "127.0.0.1", b"00000000b4d65521", b"9b1f03aa5c7e2d41"
-PATIENCE = 10.0  # s before a test that waits for something gives up
+HOST = "127.0.0.1"
+CUSTOMER_ID = b"00000000b4d65521"
+REQUEST_ID = b"9b1f03aa5c7e2d41"
+WAIT_TIMEOUT = 10.0  # seconds after which waiting for an event fails the test
 
 
-def options() -> dict[str, Any]:
-    """Settings with a safe and a keyed class."""
+def raw_settings() -> dict[str, Any]:
+    """Returns settings, as in a configuration file, with a read-like class and one with idempotency keys."""
     raw = json.loads(json.dumps(OPTIONS))
     raw["classes"].append(
         {**raw["classes"][0], "name": "order", "repeat": "idempotency_key", "dedup_scope": "zone"}
@@ -32,8 +34,8 @@
     return raw
 
 
-def configuration(**changes: Any) -> dict[str, Any]:
-    """A whole configuration object."""
+def raw_config(**overrides: Any) -> dict[str, Any]:
+    """Returns a complete gateway configuration, as in its file, with some top-level keys overridden."""
     return {
         "name": "n0",
         "listen": f"{HOST}:6379",
@@ -41,69 +43,72 @@
         "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
         "peers": [f"{HOST}:7946", "127.0.0.2:7946"],
-        "settings": options(),
-        **changes,
+        "settings": raw_settings(),
+        **overrides,
     }
 
 
-def hosts(version: int = 1, whole: bool = True, **dials: Any) -> HostList:
-    """A list of servers by name; a dial of None is a server that is gone, (dial, health) tells the rest."""
+def host_list(version: int = 1, snapshot: bool = True, **dials: Any) -> HostList:
+    """Returns a list of servers by name: an address, (address, health), or None for a server that is gone."""
     entries = []
     for name, value in dials.items():
         dial, health = value if isinstance(value, tuple) else (value, "Ready" if value else "Gone")
         entries.append(
             {"host": name, "dial": dial, "site": "a", "block": 0, "health": health, "share": 1, "born_ms": 0}
         )
-    return read_list({"seq": version, "whole": whole, "hosts": entries})
+    return read_list({"seq": version, "whole": snapshot, "hosts": entries})
 
 
-def command(name: bytes = b"API.READ", fields: bytes = b"c=lookup,t=village,d=3000", *body: bytes) -> bytes:
-    return hiredis.pack_command((name, CUSTOMER, ID, fields, *body))
+def pack_request(
+    name: bytes = b"API.READ", fields: bytes = b"c=lookup,t=village,d=3000", *body: bytes
+) -> bytes:
+    """Encodes a request of CUSTOMER_ID with REQUEST_ID as a RESP command."""
+    return hiredis.pack_command((name, CUSTOMER_ID, REQUEST_ID, fields, *body))
 
 
-def served(value: bytes, report: bytes = b"queue=1") -> bytes:
-    """A server's answer."""
+def success_reply(value: bytes, report: bytes = b"queue=1") -> bytes:
+    """Encodes a table server's successful reply with its load report."""
     return b"*3\r\n$%d\r\n%b\r\n$-1\r\n$%d\r\n%b\r\n" % (len(value), value, len(report), report)
 
 
-class Wire:
-    """One end of a connection, read message by message."""
+class RespConnection:
+    """One end of a connection, which writes bytes and reads RESP messages."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.stream, self.writer, self.reader = reader, writer, hiredis.Reader(notEnoughData=self)
+        self.stream_reader, self.writer, self.parser = reader, writer, hiredis.Reader(notEnoughData=self)
 
     def write(self, data: bytes) -> None:
         self.writer.write(data)
 
     async def read(self) -> Any:
-        """The next message; EOFError at the end."""
-        async with asyncio.timeout(PATIENCE):
-            while (message := self.reader.gets()) is self:
-                data = await self.stream.read(65536)
+        """Returns the next message. Raises EOFError at the end of the stream, TimeoutError on a timeout."""
+        async with asyncio.timeout(WAIT_TIMEOUT):
+            while (message := self.parser.gets()) is self:
+                data = await self.stream_reader.read(65536)
                 if not data:
                     raise EOFError
-                self.reader.feed(data)
+                self.parser.feed(data)
             return message
 
     def limit_receiving(self, size: int) -> None:
-        """Have the kernel take in no more than about so many unread bytes."""
+        """Limits the kernel's receive buffer to about this many bytes."""
         self.writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, size)
 
-    async def ended(self) -> bool:
-        """Wait until the other end has closed with nothing more to say."""
-        async with asyncio.timeout(PATIENCE):
+    async def wait_closed(self) -> bool:
+        """Waits for the other end to close; False if it sends more data instead."""
+        async with asyncio.timeout(WAIT_TIMEOUT):
             try:
-                return await self.stream.read(1) == b""
+                return await self.stream_reader.read(1) == b""
             except ConnectionError:
                 return True
 
 
-class Kit:
-    """The gateway, its events as the module gets them, and what was opened round it."""
+class GatewayHarness:
+    """A gateway on loopback sockets, whose decision module's events are recorded."""
 
-    def __init__(self, **changes: Any) -> None:
-        clock, self.ahead = anchored_clock(), 0.0  # s by which the gateway's clock has been put on
-        self.driver = Driver(read(configuration(**changes), {}), lambda: clock() + self.ahead)
+    def __init__(self, **overrides: Any) -> None:
+        clock, self.clock_offset = anchored_clock(), 0.0  # seconds by which the gateway's clock is ahead
+        self.driver = Driver(read(raw_config(**overrides), {}), lambda: clock() + self.clock_offset)
         self.driver.listening = self.driver.clock()
         self.events: asyncio.Queue[api.Event] = asyncio.Queue()
         handle = self.driver.gateway.handle
@@ -114,81 +119,85 @@
 
         self.driver.gateway.handle = record
 
-    async def client(self) -> Wire:
-        """A client's connection; the first call opens the listener."""
+    async def connect_client(self) -> RespConnection:
+        """Connects a client; the first call opens the listener."""
         if not hasattr(self, "listener"):
             self.listener = socket.create_server((HOST, 0), backlog=1024)
             self.driver.clients.listen(self.listener)
-        return Wire(*await asyncio.open_connection(*self.listener.getsockname()))
+        return RespConnection(*await asyncio.open_connection(*self.listener.getsockname()))
 
-    async def bare(self, data: bytes) -> socket.socket:
-        """A client's socket that no loop is behind: what it sends and its close reach the kernel at once."""
-        (await self.client()).writer.close()
+    async def connect_raw_client(self, data: bytes) -> socket.socket:
+        """Connects a blocking socket and sends data; its sends and close reach the kernel at once."""
+        (await self.connect_client()).writer.close()
         sock = socket.create_connection(self.listener.getsockname())
         sock.sendall(data)
         return sock
 
     def hold_connects(self) -> asyncio.Event:
-        """Let no connection to a server begin before the event that this returns is set."""
+        """Delays new connections to servers until the returned event is set."""
         loop, gate = self.driver.loop, asyncio.Event()
 
-        async def late(*args: Any) -> Any:
+        async def connect_after_gate(*args: Any) -> Any:
             await gate.wait()
             return await loop.create_connection(*args)
 
         self.driver.servers.loop = SimpleNamespace(
-            create_connection=late, create_task=loop.create_task, call_soon=loop.call_soon
+            create_connection=connect_after_gate, create_task=loop.create_task, call_soon=loop.call_soon
         )
-        self.driver.servers.connect_timeout = PATIENCE
+        self.driver.servers.connect_timeout = WAIT_TIMEOUT
         return gate
 
-    async def server(self) -> tuple[str, asyncio.Queue[Wire]]:
-        """A server that does nothing by itself: its address, and the connections that come."""
-        came: asyncio.Queue[Wire] = asyncio.Queue()
-        listener = await asyncio.start_server(lambda r, w: came.put_nowait(Wire(r, w)), HOST, 0)
-        return "{}:{}".format(*listener.sockets[0].getsockname()), came
+    async def start_server(self) -> tuple[str, asyncio.Queue[RespConnection]]:
+        """Starts a server that never answers by itself; returns its address and accepted connections."""
+        connections: asyncio.Queue[RespConnection] = asyncio.Queue()
+        listener = await asyncio.start_server(
+            lambda reader, writer: connections.put_nowait(RespConnection(reader, writer)), HOST, 0
+        )
+        return "{}:{}".format(*listener.sockets[0].getsockname()), connections
 
-    async def rested(self, name: str) -> None:
-        """Wait until a connection to this server has been quiet long enough to be used again."""
-        async with asyncio.timeout(PATIENCE):
+    async def wait_reusable(self, name: str) -> None:
+        """Waits until an idle connection to this server may be used for another request."""
+        async with asyncio.timeout(WAIT_TIMEOUT):
             while not any(c.rested for c in self.driver.servers.pools[name].idle):
                 await asyncio.sleep(0.001)
 
-    def sweep_later(self, seconds: float) -> None:
-        """Look after the client connections as if so much time had passed."""
+    def sweep_after(self, seconds: float) -> None:
+        """Runs the periodic check of the client connections as if this much time had passed."""
         clock = self.driver.clients.clock
         self.driver.clients.clock = lambda: clock() + seconds
         self.driver.clients.sweep()
         self.driver.clients.clock = clock
 
-    async def until(self, kind: type, **fields: Any) -> Any:
-        """The next event of a kind that the module gets, with these fields."""
-        async with asyncio.timeout(PATIENCE):
+    async def wait_for_event(self, kind: type, **fields: Any) -> Any:
+        """Returns the decision module's next event of a type with these fields; discards those before it."""
+        async with asyncio.timeout(WAIT_TIMEOUT):
             while True:
                 event = await self.events.get()
                 if isinstance(event, kind) and all(getattr(event, k) == v for k, v in fields.items()):
                     return event
 
 
-async def kit_with_server(**changes: Any) -> tuple[Kit, asyncio.Queue[Wire]]:
-    """A gateway that knows one server, s1, and the connections that come to that."""
-    kit = Kit(**changes)
-    dial, came = await kit.server()
-    kit.driver.on_list(hosts(s1=dial))
-    return kit, came
+async def harness_with_server(**overrides: Any) -> tuple[GatewayHarness, asyncio.Queue[RespConnection]]:
+    """Returns a gateway that knows one server, s1, and the connections which that server accepts."""
+    harness = GatewayHarness(**overrides)
+    dial, connections = await harness.start_server()
+    harness.driver.on_list(host_list(s1=dial))
+    return harness, connections
 
 
-async def request_in_hand(kit: Kit, came: asyncio.Queue[Wire], *behind: bytes) -> tuple[Wire, Wire]:
-    """A client whose request is out at a server, with what it wrote behind it."""
-    client = await kit.client()
-    client.write(command() + b"".join(behind))
-    server = await soon(came)
+async def request_in_flight(
+    harness: GatewayHarness, connections: asyncio.Queue[RespConnection], *following: bytes
+) -> tuple[RespConnection, RespConnection]:
+    """Sends a request, followed by other data; returns the client's and the server's connection."""
+    client = await harness.connect_client()
+    client.write(pack_request() + b"".join(following))
+    server = await next_item(connections)
     await server.read()
     return client, server
 
 
-class Mute:
-    """A listener with a full backlog: further connections never come up."""
+class UnresponsiveListener:
+    """A listener with a full backlog: further connection attempts hang. Entering it returns its address."""
 
     def __enter__(self) -> str:
         self.sockets = [socket.socket()]
@@ -202,16 +211,17 @@
         return "{}:{}".format(*self.sockets[0].getsockname())
 
     def __exit__(self, *_: object) -> None:
-        for each in self.sockets:
-            each.close()
+        for sock in self.sockets:
+            sock.close()
 
 
-async def soon(came: asyncio.Queue[Any]) -> Any:
-    async with asyncio.timeout(PATIENCE):
-        return await came.get()
+async def next_item(queue: asyncio.Queue[Any]) -> Any:
+    """Returns the next item of a queue. Raises TimeoutError after WAIT_TIMEOUT."""
+    async with asyncio.timeout(WAIT_TIMEOUT):
+        return await queue.get()
 
 
-def run(test: Coroutine[Any, Any, None]) -> None:
-    """Run a test on the loop that the gateway uses in service."""
+def run_on_uvloop(test: Coroutine[Any, Any, None]) -> None:
+    """Runs an asynchronous test on uvloop, the event loop of the program."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(test)
--- a/tests/processkit.py
+++ b/tests/processkit.py
@@ -1,4 +1,4 @@
-"""The program started as a process."""
+"""Starts the program as a process and waits until it serves."""
 
 from __future__ import annotations
 
@@ -16,56 +16,64 @@
 
 ROOT = Path(__file__).parent.parent
 HOST = "127.0.0.1"
-PING, PONG = b"*1\r\n$4\r\nPING\r\n", b"+PONG\r\n"
+PING = b"*1\r\n$4\r\nPING\r\n"
+PONG = b"+PONG\r\n"
 
 
-def start(
+def start_gateway(
     path: Path,
     config: object,
     as_deployed: bool = False,
-    tree: Path = ROOT,
+    root: Path = ROOT,
     log: Any = subprocess.PIPE,
     **environ: str,
 ) -> subprocess.Popen:
-    """The program with this configuration, by the deploy file's `run` in a shell where that is asked for."""
+    """Writes the configuration to `path` and starts the program of the checkout at `root` with it.
+
+    A string is written as it is, anything else as JSON. With `as_deployed`, a shell runs the deploy file's
+    `run` command. `log` receives standard error, `environ` is added to the environment.
+    """
     program = [sys.executable, "-m", "thymehinge"]
     if as_deployed:
         deployed = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
         program = ["/bin/sh", "-c", deployed.replace(".venv/bin/python", sys.executable)]
     path.write_text(config if isinstance(config, str) else json.dumps(config))
-    own = {k: v for k, v in os.environ.items() if not k.startswith("EDGE_")}
+    inherited = {k: v for k, v in os.environ.items() if not k.startswith("EDGE_")}
     return subprocess.Popen(
         program,
-        cwd=tree,
-        env=own | {"EDGE_CONFIG": str(path)} | environ,
+        cwd=root,
+        env=inherited | {"EDGE_CONFIG": str(path)} | environ,
         stderr=log,
         text=True,
     )
 
 
 def free_port() -> int:
-    """A port of the loopback address that the system has just had free."""
+    """Returns a TCP port of the loopback address that is free at the moment."""
     with socket.socket() as probe:
         probe.bind((HOST, 0))
         return probe.getsockname()[1]
 
 
 @asynccontextmanager
-async def serving(
-    path: Path, config: dict[str, Any], patience: float = 10.0, tree: Path = ROOT, **environ: str
+async def running_gateway(
+    path: Path, config: dict[str, Any], start_timeout: float = 10.0, root: Path = ROOT, **environ: str
 ) -> AsyncIterator[subprocess.Popen]:
-    """The program as a process that has answered +PONG within so many seconds; killed at the end.
+    """Runs the program as a process that is ready to serve, and kills it at the end.
 
-    Its log is a file: a pipe that nobody reads would hold it up once that is full.
+    Raises TimeoutError if it is not ready within `start_timeout` seconds. Its log goes to a file, since a
+    full pipe that nobody reads would block the process.
     """
     log = path.with_suffix(".log")
     with log.open("w") as file:
-        process = start(path, config, tree=tree, log=file, **environ)
+        process = start_gateway(path, config, root=root, log=file, **environ)
     host, port = config["listen"].rsplit(":", 1)
     try:
-        async with asyncio.timeout(patience):
+        async with asyncio.timeout(start_timeout):
             while not await is_ready(host, int(port)):
-                assert process.poll() is None, f"it ended with {process.returncode}: {log.read_text()}"
+                assert process.poll() is None, (
+                    f"gateway exited with code {process.returncode}: {log.read_text()}"
+                )
                 await asyncio.sleep(0.01)
         yield process
     finally:
@@ -74,7 +82,7 @@
 
 
 async def is_ready(host: str, port: int) -> bool:
-    """Whether a new connection is answered +PONG."""
+    """Whether the gateway answers PING with +PONG on a new connection."""
     try:
         reader, writer = await asyncio.open_connection(host, port)
     except ConnectionError:
--- a/tests/quotakit.py
+++ b/tests/quotakit.py
@@ -1,65 +1,76 @@
-"""Requests at a pace, and gateways that hear each other; what the tests of quotas share."""
+"""Helpers for tests of quotas: paced requests, and gateways that exchange peer messages."""
 
 from __future__ import annotations
 
-from rules import Drive, servers, settings
+from rules import CheckedGateway, make_settings, server_list
 
 from thymehinge import interface as api
 
 
-def ask(d: Drive, seconds: float, every: float, **request: object) -> list[int]:
-    """Requests at an even pace; what is sent is answered well."""
-    ids, until = [], d.now + seconds
-    while d.now < until:
-        ids.append(d.request(**request))
-        for r in [r for r in d.sent if d.out(r)]:
-            d.end(r)
-        d.run(every)
+def send_paced(gateway: CheckedGateway, seconds: float, interval: float, **request: object) -> list[int]:
+    """Sends requests at a fixed interval (seconds), answers all their attempts; returns the request ids."""
+    ids, end = [], gateway.now + seconds
+    while gateway.now < end:
+        ids.append(gateway.request(**request))
+        for number in [number for number in gateway.attempts if gateway.in_flight(number)]:
+            gateway.end_attempt(number)
+        gateway.run(interval)
     return ids
 
 
-def sent(d: Drive, ids: list[int]) -> int:
-    return sum(bool(d.sent.get(r)) for r in ids)
+def count_sent(gateway: CheckedGateway, ids: list[int]) -> int:
+    """Counts the requests of which at least one attempt was sent."""
+    return sum(bool(gateway.attempts.get(request)) for request in ids)
 
 
-class Group:
-    """Gateways that hear each other after a moment; a message may be lost by `lost`. It models no server."""
+class GatewayGroup:
+    """Gateways with three servers whose peer messages arrive after 10 ms, unless `is_lost` drops them."""
 
     def __init__(self, count: int, **changes: object) -> None:
-        self.all = [
-            Drive(settings(gateway_count=count, gateway_index=i, **changes), seed=i) for i in range(count)
+        self.members = [
+            CheckedGateway(make_settings(gateway_count=count, gateway_index=i, **changes), seed=i)
+            for i in range(count)
         ]
-        self.seen = [0] * count
-        self.lost = lambda sender, body: False
-        for d in self.all:
-            d.give(servers("s1", "s2", "s3"))
+        self.log_positions = [0] * count
+        self.is_lost = lambda sender, body: False
+        for gateway in self.members:
+            gateway.deliver(server_list("s1", "s2", "s3"))
 
     def run(self, seconds: float, answer: bool = True) -> None:
+        """Advances all gateways by so much time; with `answer`, all their attempts succeed."""
         for _ in range(round(seconds / 0.01)):
-            told = []
-            for i, d in enumerate(self.all):
-                told += [(i, a) for _, a in d.log[self.seen[i] :] if isinstance(a, api.SendToPeer)]
-                self.seen[i] = len(d.log)
-                d.run(0.01)
-                for r in [r for r in d.sent if answer and d.out(r)]:
-                    d.end(r)
-            for sender, action in told:
-                if not self.lost(sender, action.body):
-                    self.all[action.peer].give(api.PeerMessage(sender, action.body))
-
-    def sent(self) -> int:
-        return sum(bool(tries) for d in self.all for tries in d.sent.values())
-
-
-def homed(d: Drive, home: int) -> int:
-    """A customer of all gateways whose home is this one."""
-    given = d.settings
-    tries = (
-        d.gateway.find_quota(d.now, api.Request(0, 1.0, "", "hard", key, spread=given.gateway_count))
+            messages = []
+            for i, gateway in enumerate(self.members):
+                messages += [
+                    (i, a)
+                    for _, a in gateway.action_log[self.log_positions[i] :]
+                    if isinstance(a, api.SendToPeer)
+                ]
+                self.log_positions[i] = len(gateway.action_log)
+                gateway.run(0.01)
+                for number in [n for n in gateway.attempts if answer and gateway.in_flight(n)]:
+                    gateway.end_attempt(number)
+            for sender, action in messages:
+                if not self.is_lost(sender, action.body):
+                    self.members[action.peer].deliver(api.PeerMessage(sender, action.body))
+
+    def count_sent(self) -> int:
+        """Counts the requests of which at least one attempt was sent, over all gateways."""
+        return sum(bool(attempts) for gateway in self.members for attempts in gateway.attempts.values())
+
+
+def customer_owned_by(gateway: CheckedGateway, owner: int) -> int:
+    """Returns the id of a customer that all gateways serve and whose quota this gateway owns."""
+    settings = gateway.settings
+    customers = (
+        gateway.gateway.find_quota(
+            gateway.now, api.Request(0, 1.0, "", "hard", key, spread=settings.gateway_count)
+        )
         for key in range(1000)
     )
-    return next(c.key for c in tries if c.owners[0] == home)
+    return next(c.key for c in customers if c.owners[0] == owner)
 
 
-def asks(d: Drive) -> int:
-    return sum(isinstance(a, api.SendToPeer) for _, a in d.log)
+def count_peer_messages(gateway: CheckedGateway) -> int:
+    """Counts the messages that a gateway has sent to its peers."""
+    return sum(isinstance(action, api.SendToPeer) for _, action in gateway.action_log)
--- a/tests/rules.py
+++ b/tests/rules.py
@@ -1,4 +1,4 @@
-"""Drive a gateway by hand and hold every action against the five rules. It models no server."""
+"""Runs one gateway on a simulated clock and checks every action against the five rules; models no server."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
 HARD = api.Plan("hard", rate=4.0, burst=8.0, overage_cost=1.0)
 SOFT = api.Plan("soft", rate=4.0, burst=8.0, overage_value=0.3)
 CAPPED = api.Plan("capped", rate=4.0, burst=8.0, cap_rate=8.0, cap_burst=16.0, cap_slack=1.0)
-GRACE = 0.016
+ANSWER_GRACE = 0.016  # seconds after a request's deadline
 
 
-def settings(**changes: object) -> api.Settings:
-    """Settings of a small deployment."""
+def make_settings(**changes: object) -> api.Settings:
+    """Returns the settings of a deployment of three gateways, with some fields changed."""
     base: dict[str, object] = dict(
         classes=(LOOKUP, KEYED, KEYED_ALL, UNSAFE),
         plans=(HARD, SOFT, CAPPED),
@@ -51,8 +51,8 @@
     return api.Settings(**{**base, **changes})
 
 
-def servers(*names: str, **changes: object) -> api.ServerList:
-    """A full list of running servers in zones a, b, a, b ..."""
+def server_list(*names: str, **changes: object) -> api.ServerList:
+    """Returns a snapshot of running servers, which alternate between zones a and b."""
     return api.ServerList(
         api.ListKind.SNAPSHOT,
         1,
@@ -60,80 +60,84 @@
     )
 
 
-class Drive:
-    """A gateway with its clock and timers; every action is checked as it comes."""
+class CheckedGateway:
+    """A gateway with a simulated clock and timers; raises AssertionError if an action breaks a rule."""
 
     def __init__(self, given: api.Settings | None = None, seed: int = 1, now: float = 100.0) -> None:
-        self.settings, self.now = given or settings(), now
+        self.settings, self.now = given or make_settings(), now
         self.gateway = Gateway(self.settings, seed, now)
-        self.requests: dict[int, tuple[api.Request, float]] = {}
-        self.sent: dict[int, list[list]] = {}  # request -> [server, at, result or None, its entry then]
-        self.final: dict[int, api.Action] = {}
-        self.answered: dict[int, float] = {}
+        self.requests: dict[int, tuple[api.Request, float]] = {}  # request id -> request, time received
+        self.attempts: dict[int, list[list]] = {}  # request id -> [server, time sent, result or None, entry]
+        self.final_actions: dict[int, api.Action] = {}
+        self.answered_at: dict[int, float] = {}
         self.listed: dict[str, api.Server] = {}
-        self.closed: set[str] = set()
+        self.out_of_service: set[str] = set()
         self.timers: list[tuple[float, int]] = []
-        self.log: list[tuple[float, api.Action]] = []
-        self.next = 0
+        self.action_log: list[tuple[float, api.Action]] = []
+        self.last_request = 0
 
-    def give(self, event: api.Event) -> list[api.Action]:
-        """One event now; returns the actions."""
+    def deliver(self, event: api.Event) -> list[api.Action]:
+        """Passes an event to the gateway, checks the actions and returns them."""
         if isinstance(event, api.ServerList) and event.kind is not api.ListKind.FAILED:
             if event.kind is not api.ListKind.DELTA:
-                self.closed |= self.listed.keys()
+                self.out_of_service |= self.listed.keys()
             for entry in event.servers:
                 self.listed[entry.name] = entry
-                (self.closed.discard if entry.state is LifecycleState.RUNNING else self.closed.add)(
-                    entry.name
-                )
+                (
+                    self.out_of_service.discard
+                    if entry.state is LifecycleState.RUNNING
+                    else self.out_of_service.add
+                )(entry.name)
         actions = self.gateway.handle(self.now, event)
         for action in actions:
-            self.check(action)
+            self.check_action(action)
         return actions
 
-    def check(self, action: api.Action) -> None:
-        """Hold one action against the rules."""
-        self.log.append((self.now, action))
+    def check_action(self, action: api.Action) -> None:
+        """Records an action and checks it against the rules."""
+        self.action_log.append((self.now, action))
         if isinstance(action, api.SetTimer):
             self.timers.append((action.due_at, action.tag))
         if not isinstance(action, api.Send | api.Refuse | api.Fail):
             return
-        req, _ = self.requests[action.request_id]
-        assert action.request_id not in self.final, f"acted after the final answer: {action}"
-        tries = self.sent.setdefault(action.request_id, [])
-        ran = [t for t in tries if t[2] is None or not t[2].never_ran]
-        cls = next(c for c in self.settings.classes if c.name == req.class_name)
+        request, _ = self.requests[action.request_id]
+        assert action.request_id not in self.final_actions, f"action after the final answer: {action}"
+        attempts = self.attempts.setdefault(action.request_id, [])
+        may_have_run = [attempt for attempt in attempts if attempt[2] is None or not attempt[2].never_ran]
+        request_class = next(c for c in self.settings.classes if c.name == request.class_name)
         if isinstance(action, api.Send):
-            assert action.server in self.listed and action.server not in self.closed, (
-                f"not in service: {action}"
+            assert action.server in self.listed and action.server not in self.out_of_service, (
+                f"sent to a server that is not in service: {action}"
             )
-            assert len(tries) < self.settings.max_attempts
+            assert len(attempts) < self.settings.max_attempts
             if not self.settings.hedging_enabled:
-                assert all(t[2] is not None for t in tries), f"two attempts out: {action}"
-            assert cls.idempotency is not Idempotency.UNSAFE or not ran
-            if cls.idempotency is Idempotency.KEYED:
-                here = self.listed[action.server]
-                for _, at, _, there in ran:
-                    assert self.now - at <= cls.dedup_window
-                    assert cls.dedup_scope is DedupScope.ALL or (
-                        here.zone == there.zone
-                        if cls.dedup_scope is DedupScope.ZONE
-                        else here.cell == there.cell
+                assert all(attempt[2] is not None for attempt in attempts), (
+                    f"two attempts in flight without hedging: {action}"
+                )
+            assert request_class.idempotency is not Idempotency.UNSAFE or not may_have_run
+            if request_class.idempotency is Idempotency.KEYED:
+                entry = self.listed[action.server]
+                for _, sent_at, _, earlier_entry in may_have_run:
+                    assert self.now - sent_at <= request_class.dedup_window
+                    assert request_class.dedup_scope is DedupScope.ALL or (
+                        entry.zone == earlier_entry.zone
+                        if request_class.dedup_scope is DedupScope.ZONE
+                        else entry.cell == earlier_entry.cell
                     )
-            tries.append([action.server, self.now, None, self.listed[action.server]])
+            attempts.append([action.server, self.now, None, self.listed[action.server]])
             return
-        if isinstance(action, api.Refuse) and ran:
-            assert cls.idempotency is Idempotency.SAFE or (
-                cls.idempotency is Idempotency.KEYED and cls.dedup_scope is DedupScope.ALL
+        if isinstance(action, api.Refuse) and may_have_run:
+            assert request_class.idempotency is Idempotency.SAFE or (
+                request_class.idempotency is Idempotency.KEYED and request_class.dedup_scope is DedupScope.ALL
             ), action
-        self.answer(action.request_id, action)
+        self.record_answer(action.request_id, action)
 
-    def answer(self, request: int, action: object) -> None:
-        """Note a final answer and that it came in time."""
-        req, at = self.requests[request]
-        assert self.now <= at + req.time_left + GRACE, f"late answer to {req}"
-        self.final[request] = action
-        self.answered[request] = self.now
+    def record_answer(self, request_id: int, action: object) -> None:
+        """Records a request's final answer and checks that it is in time."""
+        request, received_at = self.requests[request_id]
+        assert self.now <= received_at + request.time_left + ANSWER_GRACE, f"late answer to {request}"
+        self.final_actions[request_id] = action
+        self.answered_at[request_id] = self.now
 
     def request(
         self,
@@ -144,45 +148,51 @@
         units: float = 1.0,
         spread: int = 1,
     ) -> int:
-        """A new try; returns its id."""
-        self.next += 1
-        req = api.Request(self.next, time_left, cls, plan, customer, units, spread, 0)
-        self.requests[self.next] = (req, self.now)
-        self.give(req)
-        return self.next
-
-    def end(
+        """Delivers a new request and returns its id."""
+        self.last_request += 1
+        request = api.Request(self.last_request, time_left, cls, plan, customer, units, spread, 0)
+        self.requests[self.last_request] = (request, self.now)
+        self.deliver(request)
+        return self.last_request
+
+    def end_attempt(
         self, request: int, result: Result = Result.OK, attempt: int = -1, **more: object
     ) -> list[api.Action]:
-        """End an attempt of a request, the last one unless told."""
-        tries = self.sent[request]
-        attempt %= len(tries)
-        tries[attempt][2] = result
-        final = request in self.final or result is Result.OK
-        if result is Result.OK and request not in self.final:
-            self.answer(request, "served")
-        return self.give(
+        """Ends an attempt of a request, by default the last one; returns the gateway's actions."""
+        attempts = self.attempts[request]
+        attempt %= len(attempts)
+        attempts[attempt][2] = result
+        final = request in self.final_actions or result is Result.OK
+        if result is Result.OK and request not in self.final_actions:
+            self.record_answer(request, "served")
+        return self.deliver(
             api.Outcome(
-                request, attempt, tries[attempt][0], result, self.now - tries[attempt][1], final, **more
+                request,
+                attempt,
+                attempts[attempt][0],
+                result,
+                self.now - attempts[attempt][1],
+                final,
+                **more,
             )
         )
 
-    def out(self, request: int) -> int:
-        """Attempts out."""
-        return sum(t[2] is None for t in self.sent.get(request, []))
+    def in_flight(self, request: int) -> int:
+        """Counts the attempts of a request that have not ended."""
+        return sum(attempt[2] is None for attempt in self.attempts.get(request, []))
 
     def run(self, seconds: float) -> None:
-        """Let time pass, timers coming due on their tick."""
-        until = self.now + seconds
-        while self.timers and min(self.timers)[0] <= until:
-            at, tag = min(self.timers)
-            self.timers.remove((at, tag))
-            self.now = max(self.now, at)
-            self.give(api.TimerDue(tag))
-        self.now = until
+        """Advances the clock and fires the timers that come due."""
+        end = self.now + seconds
+        while self.timers and min(self.timers)[0] <= end:
+            due_at, tag = min(self.timers)
+            self.timers.remove((due_at, tag))
+            self.now = max(self.now, due_at)
+            self.deliver(api.TimerDue(tag))
+        self.now = end
 
     def finish(self) -> None:
-        """Run on past every deadline: each request has its one answer."""
-        self.run(max((req.time_left for req, _ in self.requests.values()), default=0) + 1)
-        missing = self.requests.keys() - self.final.keys()
-        assert not missing, f"no final answer: {sorted(missing)}"
+        """Runs past every deadline and checks that each request has had its answer."""
+        self.run(max((request.time_left for request, _ in self.requests.values()), default=0) + 1)
+        missing = self.requests.keys() - self.final_actions.keys()
+        assert not missing, f"requests without a final answer: {sorted(missing)}"
--- a/tests/soak_troubles.py
+++ b/tests/soak_troubles.py
@@ -1,4 +1,4 @@
-"""What goes wrong on a random day of crossing_clients.py: table servers, and troubles drawn by a seed."""
+"""Faulty table servers and random faults for the soak test crossing_clients.py."""
 
 from __future__ import annotations
 
@@ -10,74 +10,85 @@
 from contextlib import suppress
 
 import hiredis
-from discoverykit import ENTRY, Agent
-from faultkit import Faults
-from netkit import HOST, served
-from term_judge import Judge, ServerAttempt
+from discoverykit import SERVER_ENTRY, FakeDiscovery
+from faultkit import FaultInjector
+from netkit import HOST, success_reply
+from term_judge import ServerAttempt, TermsChecker
 
-TIME_TOLD = re.compile(rb"d=([0-9]+)")
+DEADLINE_FIELD = re.compile(rb"d=([0-9]+)")
 
 
-class Server:
-    """A table server that is quick or slow, answers much or little, fails, hangs, breaks off or closes."""
+class FaultyTableServer:
+    """A table server with random latencies and value sizes, which may fail, hang, reset or close."""
 
-    def __init__(self, name: str, zone: str, seed: int, judge: Judge) -> None:
-        self.name, self.zone, self.judge = name, zone, judge
+    def __init__(self, name: str, zone: str, seed: int, checker: TermsChecker) -> None:
+        self.name, self.zone, self.checker = name, zone, checker
         self.rng = random.Random(f"{seed} {name}")
-        self.hangs = False
+        self.hanging = False
 
     async def listen(self) -> dict:
-        """Its entry of the list."""
+        """Starts the server and returns its discovery entry."""
         listener = await asyncio.start_server(self.serve, HOST, 0)
         dial = "{}:{}".format(*listener.sockets[0].getsockname())
-        return ENTRY | {"host": self.name, "dial": dial, "site": self.zone}
+        return SERVER_ENTRY | {"host": self.name, "dial": dial, "site": self.zone}
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """One connection; its end ends what is out on it."""
-        parser, waiting, ended = hiredis.Reader(), asyncio.Queue(), asyncio.Event()
-        answering = asyncio.create_task(self.answer_all(waiting, writer))
+        """Serves one connection, whose end cancels its attempts."""
+        parser, queue, ended = hiredis.Reader(), asyncio.Queue(), asyncio.Event()
+        answering = asyncio.create_task(self.answer_requests(queue, writer))
         attempts: list[ServerAttempt] = []
         with suppress(OSError):
             while data := await reader.read(65536):
                 parser.feed(data)
                 while (words := parser.gets()) is not False:
-                    told = int(TIME_TOLD.search(words[3])[1])
-                    attempts.append(self.judge.begun(words[2], self.name, self.zone, told))
-                    waiting.put_nowait((words, attempts[-1]))
+                    timeout_ms = int(DEADLINE_FIELD.search(words[3])[1])
+                    attempts.append(self.checker.attempt_received(words[2], self.name, self.zone, timeout_ms))
+                    queue.put_nowait((words, attempts[-1]))
         ended.set()
         for attempt in attempts:
-            attempt.out = False
+            attempt.in_flight = False
         answering.cancel()
         writer.close()
 
-    async def answer_all(self, waiting: asyncio.Queue, writer: asyncio.StreamWriter) -> None:
+    async def answer_requests(self, queue: asyncio.Queue, writer: asyncio.StreamWriter) -> None:
+        """Answers the requests of one connection in order."""
         rng = self.rng
         while True:
-            words, attempt = await waiting.get()
+            words, attempt = await queue.get()
             await asyncio.sleep(rng.choice((0.005, 0.02, 0.05, 0.05, 0.1, 0.2, 0.5, 1.5, 3.0)))
-            if self.hangs or (chance := rng.random()) < 0.01:
+            if self.hanging or (chance := rng.random()) < 0.01:
                 await asyncio.sleep(60.0)
-            attempt.out = False
+            attempt.in_flight = False
             if chance < 0.04:
                 return writer.transport.abort()
             if chance < 0.14:
                 attempt.may_have_run = chance < 0.09
                 writer.write(b"-ERR failed\r\n" if attempt.may_have_run else b"-BUSY\r\n")
             else:
-                writer.write(served(words[2] + b"x" * rng.choice((0, 10, 100, 100, 200_000))))
+                writer.write(success_reply(words[2] + b"x" * rng.choice((0, 10, 100, 100, 200_000))))
             if chance > 0.95:
                 await asyncio.sleep(0.05)
                 return writer.close()
 
 
-class Troubles:
-    """What goes wrong on a day, drawn by its seed; each trouble is a method that lasts for the day."""
+class FaultSchedule:
+    """The faults of one run, selected by its seed. Each is a coroutine method that lasts for the run."""
 
     def __init__(
-        self, seed: int, faults: Faults, servers: list[Server], agents: list[Agent], judge: Judge
+        self,
+        seed: int,
+        injector: FaultInjector,
+        servers: list[FaultyTableServer],
+        discoveries: list[FakeDiscovery],
+        checker: TermsChecker,
     ) -> None:
-        self.rng, self.faults, self.servers, self.agents = random.Random(seed), faults, servers, agents
-        self.judge, self.agent = judge, 0  # which agent the configuration names
+        self.rng, self.injector, self.servers, self.discoveries = (
+            random.Random(seed),
+            injector,
+            servers,
+            discoveries,
+        )
+        self.checker, self.active_discovery = checker, 0  # index of the one that the configuration names
         kinds = (
             self.clock_steps,
             self.calls_fail,
@@ -87,49 +98,56 @@
             self.hangs,
             self.slow,
         )
-        self.drawn = [kind for kind in kinds if self.rng.random() < 0.5]
+        self.selected = [kind for kind in kinds if self.rng.random() < 0.5]
 
     async def pause(self) -> None:
         await asyncio.sleep(self.rng.uniform(0.3, 2.5))
 
     async def clock_steps(self) -> None:
+        """Steps the gateway's wall clock by up to an hour."""
         while True:
             await self.pause()
-            self.faults.set(clock_step_ms=self.rng.choice((-3_600_000, -5_000, 0, 5_000, 3_600_000)))
+            self.injector.set(clock_step_ms=self.rng.choice((-3_600_000, -5_000, 0, 5_000, 3_600_000)))
 
     async def calls_fail(self) -> None:
-        self.faults.set(interrupt_share=50, short_share=100)
+        """Interrupts and shortens transfers; makes socket calls fail for a while."""
+        self.injector.set(interrupt_share=50, short_share=100)
         while True:
             await self.pause()
             share = self.rng.choice(("accept_share", "connect_share", "socket_share"))
-            self.faults.set(error=self.rng.choice((errno.ENFILE, errno.ENOBUFS)), **{share: 300})
+            self.injector.set(error=self.rng.choice((errno.ENFILE, errno.ENOBUFS)), **{share: 300})
             await self.pause()
-            self.faults.set(**{share: 0})
+            self.injector.set(**{share: 0})
 
     async def stalls(self) -> None:
-        self.faults.set(stall_share=50, stall_ms=150)
+        """Stalls the gateway for 150 ms in some of its writes."""
+        self.injector.set(stall_share=50, stall_ms=150)
 
     async def drains(self) -> None:
+        """Drains a third of the servers, one after another."""
         for server in self.rng.sample(self.servers, len(self.servers) // 3):
             await self.pause()
-            for agent in self.agents:
-                agent.change(server.name, health="Terminating")
-            self.judge.drained[server.name] = time.monotonic()
+            for discovery in self.discoveries:
+                discovery.update_entry(server.name, health="Terminating")
+            self.checker.drained_at[server.name] = time.monotonic()
 
     async def moves(self) -> None:
+        """Switches the gateway's configuration between the two discovery servers."""
         while True:
             await self.pause()
-            self.agent = 1 - self.agent
-            self.configure(self.agents[self.agent].address)
+            self.active_discovery = 1 - self.active_discovery
+            self.set_discovery(self.discoveries[self.active_discovery].address)
 
     async def hangs(self) -> None:
+        """Makes a quarter of the servers hang, one after another."""
         for server in self.rng.sample(self.servers, len(self.servers) // 4):
             await self.pause()
-            server.hangs = True
+            server.hanging = True
 
     async def slow(self) -> None:
-        for agent in self.agents:
-            agent.delay = self.rng.choice((0.3, 0.8, 2.0))
+        """Delays the answers of discovery, and drops the calls that are pending after a pause."""
+        for discovery in self.discoveries:
+            discovery.delay = self.rng.choice((0.3, 0.8, 2.0))
         await self.pause()
-        for agent in self.agents:
-            agent.silent_before = time.monotonic()
+        for discovery in self.discoveries:
+            discovery.unanswered_before = time.monotonic()
--- a/tests/term_judge.py
+++ b/tests/term_judge.py
@@ -1,4 +1,4 @@
-"""Holds what clients and table servers see of a gateway against the operators' terms."""
+"""Checks what clients and table servers observe of a gateway against the operators' terms."""
 
 from __future__ import annotations
 
@@ -7,107 +7,121 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-SLACK = 0.05  # s by which each limit is longer on sockets, by protocol
-TOLD_SLACK = 0.15  # s that the time told to a server may be over what is left to the client
-GONE = 0.1  # s after a client's close in which an attempt may still begin
-TOLD = 6.0  # s after which a change of the list counts as told
-CONFIRM = 0.5  # s until this process knows how late it was
-CLOSING = 0.1  # s in which this process may still read the end of an attempt after the next one's beginning
+TIMING_SLACK = 0.05  # seconds that the protocol adds to each limit on sockets
+DEADLINE_SLACK = 0.15  # seconds by which the time sent to a server may exceed what is left to the client
+CLIENT_CLOSE_DELAY = 0.1  # seconds after a client's close in which an attempt may still begin
+PROPAGATION_TIME = 6.0  # seconds after which the gateway must know a change of the server list
+LAG_CONFIRM_DELAY = 0.5  # seconds until this process has measured its own lag
+END_READ_DELAY = 0.1  # seconds in which this process may read an attempt's end after the next one's start
 
 
 @dataclass(slots=True)
 class ServerAttempt:
-    """A request as it came whole to a table server."""
+    """An attempt that a table server has received in full."""
 
     zone: str
-    came: float
+    received_at: float
     may_have_run: bool = True
-    out: bool = True
+    in_flight: bool = True
 
 
 @dataclass(slots=True)
-class Record:
-    """A request from its last byte at the client on."""
+class RequestRecord:
+    """A request that a client has sent in full, with its attempts; times are monotonic."""
 
-    repeat: str  # as the settings name it
-    sent: float
-    wait: float
-    closed: float | None = None  # when its client closed the connection, where that came before the answer
+    idempotency: str  # the value of `repeat` in the settings
+    sent_at: float
+    timeout: float  # seconds
+    closed_at: float | None = None  # when the client closed its connection before the answer
     attempts: list[ServerAttempt] = field(default_factory=list)
 
 
-class Judge:
-    """Counts what breaks a term. `window` and `grace` (s) are the settings' for repeats and drains."""
+class TermsChecker:
+    """Counts violations of the terms; the window and the grace are those of the settings, in seconds."""
 
-    def __init__(self, window: float, grace: float) -> None:
-        self.window, self.grace = window, grace
-        self.records: dict[bytes, Record] = {}
-        self.drained: dict[str, float] = {}  # servers, since when discovery had it and could be reached
-        self.faults: Counter[str] = Counter()
-        self.lag = 0.0  # s that this process was late at most: it sees and writes all things so much later
-        self.held_up = lambda: 0.0  # s by which the gateway was held up for longer than the term says
+    def __init__(self, dedup_window: float, drain_grace: float) -> None:
+        self.dedup_window, self.drain_grace = dedup_window, drain_grace
+        self.records: dict[bytes, RequestRecord] = {}
+        self.drained_at: dict[str, float] = {}  # server -> when a reachable discovery listed it as draining
+        self.violations: Counter[str] = Counter()
+        self.max_lag = 0.0  # seconds by which this process's event loop was late at most
+        self.gateway_stall = lambda: 0.0  # seconds by which stalls of the gateway exceeded stall_ms
 
-    async def watch_lag(self) -> None:
+    async def measure_lag(self) -> None:
+        """Keeps max_lag up to date until cancelled."""
         while True:
             before = time.monotonic()
             await asyncio.sleep(0.01)
-            self.lag = max(self.lag, time.monotonic() - before - 0.01)
+            self.max_lag = max(self.max_lag, time.monotonic() - before - 0.01)
 
-    def fault(self, kind: str, request: bytes, text: str = "") -> None:
-        self.faults[kind] += 1
+    def record_violation(self, kind: str, request: bytes, text: str = "") -> None:
+        self.violations[kind] += 1
         print(f"{kind} {request.decode()} {self.records.get(request)} {text}")
 
-    def late(self, kind: str, request: bytes, by: float) -> None:
-        """Something came so long (s) past its limit; a fault where this process was not late by as much.
+    def check_late(self, kind: str, request: bytes, by: float) -> None:
+        """Records a violation if an event was `by` seconds past its limit.
 
-        How late it is now shows only once it has come round.
+        Lag of this process and excess stalls of the gateway are allowed for; the decision waits until the
+        current lag has been measured.
         """
-        if by > self.lag:
-            asyncio.get_running_loop().call_later(CONFIRM, self.confirm, kind, request, by)
+        if by > self.max_lag:
+            asyncio.get_running_loop().call_later(LAG_CONFIRM_DELAY, self.confirm_late, kind, request, by)
 
-    def confirm(self, kind: str, request: bytes, by: float) -> None:
-        if by > self.lag + self.held_up():
-            self.fault(kind, request, f"by {by:.3f} s")
+    def confirm_late(self, kind: str, request: bytes, by: float) -> None:
+        if by > self.max_lag + self.gateway_stall():
+            self.record_violation(kind, request, f"by {by:.3f} s")
 
-    def sent(self, request: bytes, repeat: str, at: float, wait: float) -> None:
-        self.records[request] = Record(repeat, at, wait)
+    def request_sent(self, request: bytes, idempotency: str, sent_at: float, timeout: float) -> None:
+        self.records[request] = RequestRecord(idempotency, sent_at, timeout)
 
-    def begun(self, request: bytes, server: str, zone: str, told_ms: int) -> ServerAttempt:
-        """An attempt came whole to a server just now."""
+    def attempt_received(self, request: bytes, server: str, zone: str, timeout_ms: int) -> ServerAttempt:
+        """Checks an attempt that a server has just received in full, with the time that it was given."""
         now, record = time.monotonic(), self.records.get(request)
         attempt = ServerAttempt(zone, now)
         if record is None:
-            self.fault("UNKNOWN", request)
+            self.record_violation("UNKNOWN", request)
             return attempt
-        self.late("TOLD TOO LONG", request, now + told_ms / 1000 - record.sent - record.wait - TOLD_SLACK)
-        if record.closed is not None:
-            self.late("BEGUN AFTER THE CLOSE", request, now - record.closed - GONE - SLACK)
-        if server in self.drained:
-            past = now - self.drained[server] - TOLD - self.grace
-            self.late("SENT TO A DRAINED SERVER", request, past - SLACK)
+        self.check_late(
+            "TOLD TOO LONG",
+            request,
+            now + timeout_ms / 1000 - record.sent_at - record.timeout - DEADLINE_SLACK,
+        )
+        if record.closed_at is not None:
+            self.check_late(
+                "BEGUN AFTER THE CLOSE", request, now - record.closed_at - CLIENT_CLOSE_DELAY - TIMING_SLACK
+            )
+        if server in self.drained_at:
+            overrun = now - self.drained_at[server] - PROPAGATION_TIME - self.drain_grace
+            self.check_late("SENT TO A DRAINED SERVER", request, overrun - TIMING_SLACK)
         self.check_repeat(request, record, attempt)
         record.attempts.append(attempt)
         return attempt
 
-    def check_repeat(self, request: bytes, record: Record, attempt: ServerAttempt) -> None:
-        """Whether this attempt may follow those before it."""
-        ran = [before for before in record.attempts if before.may_have_run]
-        if ran and record.repeat == "non_idempotent":
-            self.fault("RUN TWICE", request)
-        if ran and record.repeat == "idempotency_key":
-            self.late("REPEATED LATE", request, attempt.came - ran[0].came - self.window - SLACK)
-            if attempt.zone != ran[0].zone:
-                self.fault("REPEATED ELSEWHERE", request)
-        if any(before.out for before in record.attempts):
+    def check_repeat(self, request: bytes, record: RequestRecord, attempt: ServerAttempt) -> None:
+        """Checks that an attempt may follow the earlier ones of its request."""
+        executed = [before for before in record.attempts if before.may_have_run]
+        if executed and record.idempotency == "non_idempotent":
+            self.record_violation("RUN TWICE", request)
+        if executed and record.idempotency == "idempotency_key":
+            self.check_late(
+                "REPEATED LATE",
+                request,
+                attempt.received_at - executed[0].received_at - self.dedup_window - TIMING_SLACK,
+            )
+            if attempt.zone != executed[0].zone:
+                self.record_violation("REPEATED ELSEWHERE", request)
+        if any(before.in_flight for before in record.attempts):
             earlier = list(record.attempts)
-            asyncio.get_running_loop().call_later(CLOSING + self.lag, self.check_ended, request, earlier)
+            asyncio.get_running_loop().call_later(
+                END_READ_DELAY + self.max_lag, self.check_ended, request, earlier
+            )
 
     def check_ended(self, request: bytes, earlier: list[ServerAttempt]) -> None:
-        if any(attempt.out for attempt in earlier):
-            self.fault("TWO AT ONCE", request)
+        if any(attempt.in_flight for attempt in earlier):
+            self.record_violation("TWO AT ONCE", request)
 
-    def refused(self, request: bytes) -> None:
-        """The client was told that asking again is harmless."""
+    def request_refused(self, request: bytes) -> None:
+        """Checks a request that the gateway refused, which says that a retry is harmless."""
         record = self.records[request]
-        if record.repeat != "read_like" and any(attempt.may_have_run for attempt in record.attempts):
-            self.fault("REFUSED THOUGH IT MAY HAVE RUN", request)
+        if record.idempotency != "read_like" and any(attempt.may_have_run for attempt in record.attempts):
+            self.record_violation("REFUSED THOUGH IT MAY HAVE RUN", request)
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -11,7 +11,7 @@
 
 import pytest
 from fleetkit import FleetModel
-from rules import Drive, servers, settings
+from rules import CheckedGateway, make_settings, server_list
 
 from thymehinge import interface as api
 from thymehinge.decisions import DELISTED_TTL, MAX_DELISTED
@@ -44,17 +44,17 @@
         weights = [1.0 if spread == "even" else rng.paretovariate(PARETO_SHAPE) for _ in range(gateways)]
         super().__init__({**COLD_SETTINGS, **changes}, weights, seed, load * warm * cores / work, work)
         self.warm, self.cold = [f"w{i}" for i in range(warm)], [f"c{i}" for i in range(cold)]
-        self.server_options = dict(cores=cores, room=room)
+        self.server_options = dict(cores=cores, queue_limit=room)
         for name in self.warm:
-            self.add(name, cold=False, other=other, **self.server_options)
-        self.tell(self.warm)
+            self.add_server(name, cold=False, background_load=other, **self.server_options)
+        self.publish_list(self.warm)
         self.run(WARMUP_TIME)
 
     def start_cold(self, spread: float = 0.5, replaced: int = 0) -> None:
         """Start the cold servers, replacing some warm ones; gateways are notified within `spread` seconds."""
         for name in self.cold:
-            self.add(name, **self.server_options)
-        self.tell(self.warm[replaced:] + self.cold, spread)
+            self.add_server(name, **self.server_options)
+        self.publish_list(self.warm[replaced:] + self.cold, spread)
 
 
 def cold_start(scenario: ColdStartScenario) -> None:
@@ -71,7 +71,7 @@
 
 def gateway_restart(scenario: ColdStartScenario) -> None:
     """70% of the gateways have just restarted."""
-    scenario.restart(0.7, 1.0)
+    scenario.restart_gateways(0.7, 1.0)
     scenario.run(0.5)
     scenario.start_cold()
     scenario.run(8.0)
@@ -79,7 +79,7 @@
 
 def traffic_jump(scenario: ColdStartScenario) -> None:
     """Traffic grows fourfold, beyond the capacity of all servers, before the cold ones start."""
-    scenario.rate *= 4.0
+    scenario.request_rate *= 4.0
     scenario.run(3.0)
     scenario.start_cold()
     scenario.run(5.0)
@@ -87,13 +87,13 @@
 
 def flapping_list(scenario: ColdStartScenario) -> None:
     """Traffic grows fourfold, and every other full list lacks the cold servers."""
-    scenario.rate *= 4.0
+    scenario.request_rate *= 4.0
     scenario.start_cold(0.05)
     for _ in range(12):
         scenario.run(0.2)
-        scenario.tell(scenario.warm, 0.05)
+        scenario.publish_list(scenario.warm, 0.05)
         scenario.run(0.06)
-        scenario.tell(scenario.warm + scenario.cold, 0.05)
+        scenario.publish_list(scenario.warm + scenario.cold, 0.05)
     scenario.run(0.5)
 
 
@@ -115,8 +115,8 @@
     for seed in SEEDS:
         scenario = ColdStartScenario(gateways, spread, seed, **SCENARIOS[event])
         event(scenario)
-        units, kept = scenario.excess()
-        worst, held, used = max(worst, units), held and kept, used + scenario.use() / len(SEEDS)
+        units, kept = scenario.worst_excess()
+        worst, held, used = max(worst, units), held and kept, used + scenario.cold_utilization() / len(SEEDS)
     print(
         f"{event.__name__}, {gateways} gateways, {spread}: at worst {worst:+.2f} root of N over N; "
         f"cold servers took {used:.2f} of an even share"
@@ -130,22 +130,22 @@
     return api.ServerList(kind, 1, tuple(api.Server(n, started_at=started) for n in names))
 
 
-def gateway_with_delisted_server() -> Drive:
+def gateway_with_delisted_server() -> CheckedGateway:
     """A gateway with a request in flight at a cold server that the last full list lacks."""
-    checked = Drive(settings(peers_enabled=False, slow_start_capacity=0.9))
+    checked = CheckedGateway(make_settings(peers_enabled=False, slow_start_capacity=0.9))
     checked.gateway.fleet.warm_work_rate = 20.0
-    checked.give(cold_list("c"))
-    assert checked.out(checked.request())
-    checked.give(servers("w"))
+    checked.deliver(cold_list("c"))
+    assert checked.in_flight(checked.request())
+    checked.deliver(server_list("w"))
     return checked
 
 
 def test_a_server_that_one_full_list_lacks_keeps_its_state():
     checked = gateway_with_delisted_server()
-    checked.give(cold_list("c"))
+    checked.deliver(cold_list("c"))
     server = checked.gateway.fleet.servers["c"]
     assert len(server.cold_sends) == len(server.attempts) == 1 and server.load > 0
-    checked.end(1)
+    checked.end_attempt(1)
     assert not server.attempts and server.load == 0
 
 
@@ -154,7 +154,7 @@
     checked = gateway_with_delisted_server()
     match how:
         case "gone":
-            checked.give(
+            checked.deliver(
                 api.ServerList(
                     api.ListKind.DELTA, 2, (api.Server("c", api.LifecycleState.GONE, started_at=100.0),)
                 )
@@ -164,19 +164,19 @@
             assert not checked.gateway.fleet.delisted
         case "too many":
             for i in range(2):
-                checked.give(cold_list(*[f"x{i}.{j}" for j in range(MAX_DELISTED)]))
-            checked.give(servers("w"))
+                checked.deliver(cold_list(*[f"x{i}.{j}" for j in range(MAX_DELISTED)]))
+            checked.deliver(server_list("w"))
             assert len(checked.gateway.fleet.delisted) == MAX_DELISTED
-    checked.give(cold_list("c", started=101.0 if how == "started anew" else 100.0))
+    checked.deliver(cold_list("c", started=101.0 if how == "started anew" else 100.0))
     server = checked.gateway.fleet.servers["c"]
     assert not server.cold_sends and not server.attempts and server.load == 0
 
 
 def test_a_send_to_a_cold_server_must_start_within_its_budget_window():
     """Guards against sends decided in two windows and written in one."""
-    checked = Drive(settings(peers_enabled=False, slow_start_capacity=0.9))
+    checked = CheckedGateway(make_settings(peers_enabled=False, slow_start_capacity=0.9))
     checked.gateway.fleet.warm_work_rate = 20.0
-    checked.give(cold_list("c"))
+    checked.deliver(cold_list("c"))
     checked.request()
-    (send,) = (action for _, action in checked.log if isinstance(action, api.Send))
+    (send,) = (action for _, action in checked.action_log if isinstance(action, api.Send))
     assert send.start_deadline <= checked.now + checked.settings.overload_window
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -16,9 +16,22 @@
 
 import hiredis
 import pytest
-from discoverykit import ENTRY
-from netkit import CUSTOMER, HOST, ID, PATIENCE, Kit, Mute, Wire, command, configuration, hosts, run, served
-from processkit import start
+from discoverykit import SERVER_ENTRY
+from netkit import (
+    CUSTOMER_ID,
+    HOST,
+    REQUEST_ID,
+    WAIT_TIMEOUT,
+    GatewayHarness,
+    RespConnection,
+    UnresponsiveListener,
+    host_list,
+    pack_request,
+    raw_config,
+    run_on_uvloop,
+    success_reply,
+)
+from processkit import start_gateway
 
 from thymehinge.net import clients
 from thymehinge.net.driver import RESERVE, SERVER_PART
@@ -31,7 +44,11 @@
 def requests(fields: bytes = b"c=lookup,t=village,d=3000", first: int = 1) -> Iterator[bytes]:
     """Commands with an id each, of a customer each, so that no quota is in the way."""
     for number in count(first):
-        yield command(fields=fields).replace(ID, b"%016x" % number).replace(CUSTOMER, b"%016x" % number)
+        yield (
+            pack_request(fields=fields)
+            .replace(REQUEST_ID, b"%016x" % number)
+            .replace(CUSTOMER_ID, b"%016x" % number)
+        )
 
 
 class TableServer:
@@ -46,7 +63,7 @@
         return self
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        wire = Wire(reader, writer)
+        wire = RespConnection(reader, writer)
         self.wires.append(wire)
         self.made += 1
         with suppress(EOFError, ConnectionError, TimeoutError):
@@ -54,7 +71,7 @@
                 await wire.read()
                 if self.delay:
                     await asyncio.sleep(self.delay)
-                wire.write(served(self.name.encode()))
+                wire.write(success_reply(self.name.encode()))
 
     def hang_up(self) -> None:
         """Close all connections, so that the next request needs a new one."""
@@ -92,10 +109,10 @@
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
 
 
-async def ask(port: int, request: bytes) -> tuple[Wire, object]:
+async def ask(port: int, request: bytes) -> tuple[RespConnection, object]:
     """A new client's request and its answer."""
-    async with asyncio.timeout(PATIENCE):
-        client = Wire(*await asyncio.open_connection(HOST, port))
+    async with asyncio.timeout(WAIT_TIMEOUT):
+        client = RespConnection(*await asyncio.open_connection(HOST, port))
     client.write(request)
     return client, await client.read()
 
@@ -127,9 +144,9 @@
         port, own = free.getsockname()[1], "{}:{}".format(*free_peer.getsockname())
     with socket.socket(type=socket.SOCK_DGRAM) as peer, agent.sock:
         peer.bind(("127.0.0.2", 0))
-        peer.settimeout(PATIENCE)
-        entries = [ENTRY | {"host": f"s{i}", "dial": dial} for i in range(names)]
-        config = configuration(
+        peer.settimeout(WAIT_TIMEOUT)
+        entries = [SERVER_ENTRY | {"host": f"s{i}", "dial": dial} for i in range(names)]
+        config = raw_config(
             listen=f"{HOST}:{port}",
             discovery=agent.address,
             limits={"cores": 1.0, "memory_mb": 192, "sockets": SOCKETS},
@@ -137,10 +154,10 @@
             peers=[own, "{}:{}".format(*peer.getsockname())],
             known={"seq": 1, "whole": True, "hosts": entries},
         )
-        process = start(path, config)
+        process = start_gateway(path, config)
         try:
             resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (SOCKETS, SOCKETS))
-            async with asyncio.timeout(2 * PATIENCE):
+            async with asyncio.timeout(2 * WAIT_TIMEOUT):
                 while True:
                     with suppress(ConnectionError):
                         if await value(port, hiredis.pack_command(("PING",))) == b"PONG":
@@ -168,7 +185,7 @@
                     sock = stack.enter_context(socket.socket())
                     sock.setblocking(False)
                     sock.connect_ex((HOST, port))
-                async with asyncio.timeout(PATIENCE):
+                async with asyncio.timeout(WAIT_TIMEOUT):
                     while gateway.held() < before + MOST - 4:  # some of those before were just closing
                         await asyncio.sleep(0)
                 old.hang_up()
@@ -179,15 +196,15 @@
                 asking = [asyncio.create_task(value(port, next(shared))) for _ in range(8)]
                 assert await asyncio.to_thread(gateway.peer.recv, 300)
                 assert await asyncio.gather(*asking) == [b"old"] * 8
-                await agent.come_back(ENTRY | {"host": "new", "dial": new.dial})
-                async with asyncio.timeout(PATIENCE):
+                await agent.come_back(SERVER_ENTRY | {"host": "new", "dial": new.dial})
+                async with asyncio.timeout(WAIT_TIMEOUT):
                     while await value(port, next(request)) != b"new":
                         await asyncio.sleep(0.01)
                 assert gateway.held() <= SOCKETS and gateway.process.poll() is None
                 for client, _ in rest:
                     client.writer.close()
 
-    run(test())
+    run_on_uvloop(test())
 
 
 @pytest.mark.parametrize("refuses", [True, False], ids=["refused", "silent"])
@@ -196,7 +213,7 @@
 
     async def test() -> None:
         new, agent = await TableServer("new").listen(), Agent(refuses)
-        with Mute() as mute:
+        with UnresponsiveListener() as mute:
             async with crowded(tmp_path / "config.json", agent, mute, names=20) as gateway:
                 request, most, done = requests(b"c=lookup,t=village,d=5000"), 0, asyncio.Event()
 
@@ -209,29 +226,29 @@
                                 done.set()
 
                 asking = [asyncio.create_task(go_on()) for _ in range(2 * MOST)]
-                async with asyncio.timeout(PATIENCE):
+                async with asyncio.timeout(WAIT_TIMEOUT):
                     while most < MOST + 20:  # the clients, what was there before, and connects on their way
                         most = max(most, gateway.held())
                         await asyncio.sleep(0.01)
-                await agent.come_back(ENTRY | {"host": "new", "dial": new.dial})
-                async with asyncio.timeout(2 * PATIENCE):
+                await agent.come_back(SERVER_ENTRY | {"host": "new", "dial": new.dial})
+                async with asyncio.timeout(2 * WAIT_TIMEOUT):
                     while not done.is_set():
                         most = max(most, gateway.held())
                         await asyncio.sleep(0.01)
                     await asyncio.gather(*asking)
                 assert most <= SOCKETS and gateway.process.poll() is None
 
-    run(test())
+    run_on_uvloop(test())
 
 
-async def resting_kit(request: Iterator[bytes]) -> tuple[Kit, list[Wire]]:
+async def resting_kit(request: Iterator[bytes]) -> tuple[GatewayHarness, list[RespConnection]]:
     """A gateway whose clients have all asked once and rest, with the clients' clock standing still."""
-    kit, server = Kit(), await TableServer("s1").listen()
+    kit, server = GatewayHarness(), await TableServer("s1").listen()
     now = kit.driver.clients.clock()
     kit.driver.clients.clock = lambda: now
     kit.driver.clients.max_connections = MOST
-    kit.driver.on_list(hosts(s1=server.dial))
-    rest = [await kit.client() for _ in range(MOST)]
+    kit.driver.on_list(host_list(s1=server.dial))
+    rest = [await kit.connect_client() for _ in range(MOST)]
     for client in rest:
         client.write(next(request))
         assert await client.read() == b"s1"
@@ -244,14 +261,14 @@
     async def test() -> None:
         request = requests()
         kit, rest = await resting_kit(request)
-        client = await kit.client()
+        client = await kit.connect_client()
         client.write(next(request))
         assert await client.read() == b"s1"
-        assert await rest[0].ended()  # it had rested for longest
+        assert await rest[0].wait_closed()  # it had rested for longest
         rest[1].write(next(request))
         assert await rest[1].read() == b"s1"
 
-    run(test())
+    run_on_uvloop(test())
 
 
 def test_clients_that_come_at_once_to_a_full_gateway_do_not_push_each_other_out():
@@ -262,8 +279,8 @@
         kit, _ = await resting_kit(request)
         now = kit.driver.clients.clock() + 3.0
         kit.driver.clients.clock = lambda: now
-        burst = await asyncio.gather(*(kit.client() for _ in range(MOST // 2)))
-        async with asyncio.timeout(PATIENCE):
+        burst = await asyncio.gather(*(kit.connect_client() for _ in range(MOST // 2)))
+        async with asyncio.timeout(WAIT_TIMEOUT):
             # all are in before the first one asks
             while len(kit.driver.clients.awaiting_first_request) < len(burst):
                 await asyncio.sleep(0)
@@ -271,7 +288,7 @@
             client.write(next(request))
         assert [await client.read() for client in burst] == [b"s1"] * len(burst)
 
-    run(test())
+    run_on_uvloop(test())
 
 
 def test_the_silent_make_way_before_those_who_rest_once_they_had_their_time():
@@ -280,30 +297,30 @@
     async def test() -> None:
         request = requests()
         kit, rest = await resting_kit(request)
-        silent = await kit.client()
-        async with asyncio.timeout(PATIENCE):
+        silent = await kit.connect_client()
+        async with asyncio.timeout(WAIT_TIMEOUT):
             while not kit.driver.clients.awaiting_first_request:
                 await asyncio.sleep(0)
         now = kit.driver.clients.clock() + 2 * clients.FIRST_REQUEST_GRACE
         kit.driver.clients.clock = lambda: now
-        client = await kit.client()
+        client = await kit.connect_client()
         client.write(next(request))
-        assert await client.read() == b"s1" and await silent.ended()
+        assert await client.read() == b"s1" and await silent.wait_closed()
         rest[1].write(next(request))
         assert await rest[1].read() == b"s1"
 
-    run(test())
+    run_on_uvloop(test())
 
 
 def test_the_last_connection_that_there_is_room_for_closes_no_other():
     """Guards against closing a client that may just be asking, where nobody waits for its place."""
 
     async def test() -> None:
-        kit = Kit()
+        kit = GatewayHarness()
         kit.driver.clients.max_connections = 3
-        held = [await kit.client() for _ in range(3)]
+        held = [await kit.connect_client() for _ in range(3)]
         for client in held:
             client.write(hiredis.pack_command(("PING",)))
         assert [str(await client.read()) for client in held] == ["ERR starting"] * 3
 
-    run(test())
+    run_on_uvloop(test())
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -11,8 +11,8 @@
 
 import pytest
 from aiohttp import web
-from discoverykit import ENTRY, SILENT, discovery, whole
-from netkit import HOST, PATIENCE, Mute, configuration, run, soon
+from discoverykit import NO_ANSWER, SERVER_ENTRY, hosts_response, scripted_discovery
+from netkit import HOST, WAIT_TIMEOUT, UnresponsiveListener, next_item, raw_config, run_on_uvloop
 
 from thymehinge import interface as api
 from thymehinge.net import call_schedule
@@ -28,22 +28,24 @@
     seen: list[str] = []
 
     async def test() -> None:
-        address, calls = await discovery(answers)
+        address, calls = await scripted_discovery(answers)
         told: asyncio.Queue[HostList] = asyncio.Queue()
         task = asyncio.create_task(follow(address, told.put_nowait, size_most))
-        lists.extend([await soon(told) for _ in range(count)])
+        lists.extend([await next_item(told) for _ in range(count)])
         task.cancel()
         with suppress(asyncio.CancelledError):
             await task
         seen.extend(calls)
 
-    run(test())
+    run_on_uvloop(test())
     return lists, seen
 
 
 def test_discovery_gives_the_list_and_then_its_changes():
     gone = {"host": "s1", "health": "Gone"}
-    lists, calls = heard([whole(41, ENTRY | {"born_ms": 5000}), whole(43, gone, complete=False)], 2)
+    lists, calls = heard(
+        [hosts_response(41, SERVER_ENTRY | {"born_ms": 5000}), hosts_response(43, gone, snapshot=False)], 2
+    )
     assert lists[0].whole and lists[0].servers[0].started_at == 5.0 and lists[0].dials == {"s1": (HOST, 1)}
     assert not lists[1].whole and lists[1].servers[0].state is api.LifecycleState.GONE
     assert calls[0] == "/discovery/hosts" and calls[1].startswith("/discovery/hosts?since=41&timeout_ms=")
@@ -61,7 +63,7 @@
 )
 def test_discovery_comes_back_with_the_whole_list_after_a_bad_answer(bad):
     """Guards against a gateway that stays on an old list for good."""
-    lists, calls = heard([whole(41, ENTRY), bad, whole(44, ENTRY)], 2)
+    lists, calls = heard([hosts_response(41, SERVER_ENTRY), bad, hosts_response(44, SERVER_ENTRY)], 2)
     assert [each.version for each in lists] == [41, 44]
     # a watch whose connection broke may be asked once more as it was
     assert calls[2] == "/discovery/hosts" or bad is None
@@ -70,17 +72,17 @@
 @pytest.mark.parametrize(
     "bad",
     [
-        ENTRY | {"health": "Odd"},
-        {k: v for k, v in ENTRY.items() if k != "dial"},
-        ENTRY | {"dial": "127.0.0.1:99999"},
-        ENTRY | {"born_ms": "soon"},
+        SERVER_ENTRY | {"health": "Odd"},
+        {k: v for k, v in SERVER_ENTRY.items() if k != "dial"},
+        SERVER_ENTRY | {"dial": "127.0.0.1:99999"},
+        SERVER_ENTRY | {"born_ms": "soon"},
         "no object",
     ],
 )
 def test_a_bad_entry_discards_no_other_and_has_the_whole_list_asked_for(bad):
     """Guards against staying on an old list over one entry, and against missing what that one told."""
-    good = ENTRY | {"host": "s2"}
-    lists, calls = heard([whole(41, bad, good), whole(44, ENTRY, good)], 2)
+    good = SERVER_ENTRY | {"host": "s2"}
+    lists, calls = heard([hosts_response(41, bad, good), hosts_response(44, SERVER_ENTRY, good)], 2)
     assert [[s.name for s in each.servers] for each in lists] == [["s2"], ["s1", "s2"]]
     assert calls[:2] == ["/discovery/hosts"] * 2
 
@@ -90,8 +92,8 @@
     monkeypatch.setattr(call_schedule, "WATCH", 0.1)
     monkeypatch.setattr(call_schedule, "WATCH_LEAST", 0.1)
     monkeypatch.setattr(call_schedule, "ANSWER", 0.2)
-    draining = whole(9, ENTRY | {"health": "Terminating"})
-    lists, calls = heard([whole(1, ENTRY), SILENT, SILENT, draining], 2)
+    draining = hosts_response(9, SERVER_ENTRY | {"health": "Terminating"})
+    lists, calls = heard([hosts_response(1, SERVER_ENTRY), NO_ANSWER, NO_ANSWER, draining], 2)
     assert [s.state for s in lists[1].servers] == [api.LifecycleState.DRAINING]
     assert calls[:4] == [calls[0], f"{calls[0]}?since=1&timeout_ms=100", calls[0], calls[0]]
 
@@ -123,7 +125,9 @@
 
 def test_after_many_failures_of_either_kind_the_whole_list_is_told(monkeypatch):
     monkeypatch.setattr(call_schedule, "PAUSE_MOST", 0.1)
-    lists, calls = heard([None, web.Response(status=503), None, web.Response(status=503), whole(1, ENTRY)], 1)
+    lists, calls = heard(
+        [None, web.Response(status=503), None, web.Response(status=503), hosts_response(1, SERVER_ENTRY)], 1
+    )
     assert lists[0].version == 1 and set(calls) == {"/discovery/hosts"}
 
 
@@ -303,19 +307,19 @@
     monkeypatch.setattr(discovery_module, "ask", timed)
 
     async def test() -> None:
-        before = [gives(1, ENTRY)] if watching else []
-        draining = gives(3, ENTRY | {"health": "Terminating"}, sized=False)
+        before = [gives(1, SERVER_ENTRY)] if watching else []
+        draining = gives(3, SERVER_ENTRY | {"health": "Terminating"}, sized=False)
         address, calls = await scripted([*before, trouble, draining])
         told: asyncio.Queue[HostList] = asyncio.Queue()
         task = asyncio.create_task(follow(address, told.put_nowait, 2**20))
-        while [s.state for s in (await soon(told)).servers] != [api.LifecycleState.DRAINING]:
+        while [s.state for s in (await next_item(told)).servers] != [api.LifecycleState.DRAINING]:
             pass
         task.cancel()
         with suppress(asyncio.CancelledError):
             await task
         assert ("since=1" in calls[len(before)]) is watching
 
-    run(test())
+    run_on_uvloop(test())
     if trouble in ENDLESS:  # nothing else ends the wait for it
         gap = begun[int(watching) + 1] - begun[int(watching)]
         assert gap >= (0.3 if watching else 0.1) - 0.01
@@ -340,18 +344,18 @@
         writer.transport.abort()
 
     async def test() -> None:
-        script = [gives(1, ENTRY), late_reset, is_silent, gives(3, ENTRY)]
+        script = [gives(1, SERVER_ENTRY), late_reset, is_silent, gives(3, SERVER_ENTRY)]
         address, calls = await scripted([timed(trouble) for trouble in script])
         told: asyncio.Queue[HostList] = asyncio.Queue()
         task = asyncio.create_task(follow(address, told.put_nowait, 2**20))
-        assert [(await soon(told)).version, (await soon(told)).version] == [1, 3]
+        assert [(await next_item(told)).version, (await next_item(told)).version] == [1, 3]
         task.cancel()
         with suppress(asyncio.CancelledError):
             await task
         assert ["since=1" in call for call in calls[:4]] == [False, True, True, False]
         assert times[3] - times[1] < 0.2 + 0.3 + 0.1  # not 0.15 s more
 
-    run(test())
+    run_on_uvloop(test())
 
 
 @pytest.mark.parametrize("versions", [[], [5]])
@@ -361,43 +365,43 @@
         monkeypatch.setattr(call_schedule, name, value)
 
     async def test() -> None:
-        with Mute() as address:
+        with UnresponsiveListener() as address:
             follower = Follower(address, lambda hosts: None, 2**20)
             follower.version = next(iter(versions), None)
             task = asyncio.create_task(follower.run())
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(WAIT_TIMEOUT):
                 while caplog.text.count("no answer for") < 5:
                     await asyncio.sleep(0.01)
             assert 1 < len(follower.calls) <= call_schedule.CALLS_MOST
             task.cancel()
             follower.close()
 
-    run(test())
+    run_on_uvloop(test())
 
 
 @pytest.mark.parametrize("lacking", [0, 1])
 def test_an_answer_of_many_servers_is_read_up_to_the_most_that_memory_allows(lacking, monkeypatch, caplog):
     """Guards the memory limit without shutting out a large fleet."""
     monkeypatch.setattr(call_schedule, "ANSWER", 600.0)
-    entries = [ENTRY | {"host": f"s{i}"} for i in range(5000)]
+    entries = [SERVER_ENTRY | {"host": f"s{i}"} for i in range(5000)]
     length = len(indented(1, entries))
 
     async def test() -> None:
-        address, _ = await scripted([gives(1, *entries, sized=False), gives(2, ENTRY), is_silent])
+        address, _ = await scripted([gives(1, *entries, sized=False), gives(2, SERVER_ENTRY), is_silent])
         told: asyncio.Queue[HostList] = asyncio.Queue()
         task = asyncio.create_task(follow(address, told.put_nowait, length - lacking))
-        first = await soon(told)
+        first = await next_item(told)
         assert (first.version, len(first.servers)) == ((2, 1) if lacking else (1, 5000))
         task.cancel()
         with suppress(asyncio.CancelledError):
             await task
 
-    run(test())
+    run_on_uvloop(test())
     assert ("given up after" in caplog.text) is bool(lacking)
 
 
 def test_an_answer_may_take_a_part_of_what_the_configuration_allows():
-    config = read(configuration(limits={"memory_mb": 96, "sockets": 256}), {})
+    config = read(raw_config(limits={"memory_mb": 96, "sockets": 256}), {})
     assert config.memory == 96 * 2**20
     assert Discovery(lambda hosts: None, config.memory).size_most == 8 * 2**20
 
@@ -406,12 +410,12 @@
     """Guards the 4 s after a reload: a watch that is out at the old address may wait for longer."""
 
     async def test() -> None:
-        old, old_calls = await discovery([whole(41, ENTRY)])
-        new, new_calls = await discovery([whole(7, ENTRY)])
+        old, old_calls = await scripted_discovery([hosts_response(41, SERVER_ENTRY)])
+        new, new_calls = await scripted_discovery([hosts_response(7, SERVER_ENTRY)])
         told: asyncio.Queue[HostList] = asyncio.Queue()
         follower = Discovery(told.put_nowait, 2**27)
         follower.move(old)
-        assert (await soon(told)).version == 41
+        assert (await next_item(told)).version == 41
         async with asyncio.timeout(10):
             while len(old_calls) < 2:  # the watch is out, and is never answered
                 await asyncio.sleep(0)
@@ -420,4 +424,4 @@
         assert new_calls[0] == "/discovery/hosts"
         follower.stop()
 
-    run(test())
+    run_on_uvloop(test())
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -6,7 +6,7 @@
 import random
 
 import pytest
-from rules import Drive, settings
+from rules import CheckedGateway, make_settings
 
 from thymehinge import interface as api
 from thymehinge.interface import DedupScope, Idempotency, Result
@@ -25,26 +25,28 @@
     """Attempts by server at `rate` requests/s, in a fleet of which the servers in `failing` fail."""
     classes = (api.RequestClass("lookup", latency_target=1.0, timeout=3.0),)
     plan = api.Plan("hard", rate=10**4, burst=10**5)
-    checked = Drive(
-        settings(classes=classes, plans=(plan,), gateway_count=1, peers_enabled=False, hedging_enabled=False),
+    checked = CheckedGateway(
+        make_settings(
+            classes=classes, plans=(plan,), gateway_count=1, peers_enabled=False, hedging_enabled=False
+        ),
         seed,
     )
-    checked.give(api.ServerList(api.ListKind.SNAPSHOT, 1, server_entries(servers)))
+    checked.deliver(api.ServerList(api.ListKind.SNAPSHOT, 1, server_entries(servers)))
     rng, counts, ends = random.Random(seed), {}, []
     for _ in range(requests):
         due = checked.now + rng.expovariate(rate)
         while ends and ends[0][0] <= due:
             at, request = heapq.heappop(ends)
             checked.run(max(0.0, at - checked.now))
-            bad = checked.sent[request][-1][0] in failing
-            checked.end(request, Result.ERROR if bad else Result.OK)
-            if request not in checked.final:
+            bad = checked.attempts[request][-1][0] in failing
+            checked.end_attempt(request, Result.ERROR if bad else Result.OK)
+            if request not in checked.final_actions:
                 heapq.heappush(ends, (checked.now + MEAN_SERVICE_TIME * rng.expovariate(1.0), request))
         checked.run(max(0.0, due - checked.now))
         request = checked.request()
-        if checked.out(request):
+        if checked.in_flight(request):
             heapq.heappush(ends, (checked.now + MEAN_SERVICE_TIME * rng.expovariate(1.0), request))
-    for tries in checked.sent.values():
+    for tries in checked.attempts.values():
         for attempt in tries:
             counts[attempt[0]] = counts.get(attempt[0], 0) + 1
     return counts
@@ -77,10 +79,10 @@
         dedup_scope=DedupScope.CELL,
         dedup_window=2.0,
     )
-    checked = Drive(settings(classes=(keyed,), hedging_enabled=False))
-    checked.give(api.ServerList(api.ListKind.SNAPSHOT, 1, server_entries(LARGE_SERVERS)))
+    checked = CheckedGateway(make_settings(classes=(keyed,), hedging_enabled=False))
+    checked.deliver(api.ServerList(api.ListKind.SNAPSHOT, 1, server_entries(LARGE_SERVERS)))
     for _ in range(3):
-        request = checked.request(cls="pay", customer=checked.next)
-        checked.end(request, Result.RESET)
-        assert len(checked.sent[request]) == 2
-        checked.end(request)
+        request = checked.request(cls="pay", customer=checked.last_request)
+        checked.end_attempt(request, Result.RESET)
+        assert len(checked.attempts[request]) == 2
+        checked.end_attempt(request)
--- a/tests/test_real.py
+++ b/tests/test_real.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 import pytest
-from netkit import run, soon
+from netkit import next_item, run_on_uvloop
 
 from thymehinge.emulator.gateway_process import DEFAULT_SETTINGS, GatewayError, GatewayProcess, Prober
 from thymehinge.emulator.http_discovery import HostTable, HttpDiscovery
@@ -110,19 +110,19 @@
 
     async def test() -> None:
         task = asyncio.create_task(follow(discovery.address, apply_list, 2**24))
-        await soon(applied_versions)
+        await next_item(applied_versions)
         for _ in range(12):
             as_snapshot = rng.random() < 0.2
             update = (
                 (discovery.send_snapshot,) if as_snapshot else (discovery.apply_changes, rng.randint(1, 9))
             )
             version = await asyncio.to_thread(*update)
-            while await soon(applied_versions) < version:
+            while await next_item(applied_versions) < version:
                 pass
         task.cancel()
 
     with HttpDiscovery(HostTable(20, seed)) as discovery:
-        run(test())
+        run_on_uvloop(test())
         listed = [read_host(entry)[0] for entry in discovery.table.entries.values()]
     assert {n: s for n, s in servers.items() if s.state.name != "GONE"} == {s.name: s for s in listed}
 
--- a/tests/test_slow_discovery.py
+++ b/tests/test_slow_discovery.py
@@ -6,8 +6,8 @@
 import time
 from contextlib import suppress
 
-from discoverykit import ENTRY, Agent
-from netkit import run
+from discoverykit import SERVER_ENTRY, FakeDiscovery
+from netkit import run_on_uvloop
 
 from thymehinge import interface as api
 from thymehinge.net.discovery import HostList, follow
@@ -18,7 +18,7 @@
 
 async def told_after(delay: float, moment: float, silent: bool = False) -> float:
     """Seconds from a change to when it is told; it comes a moment after the first list was."""
-    agent = Agent([ENTRY], delay)
+    agent = FakeDiscovery([SERVER_ENTRY], delay)
     told: asyncio.Queue[HostList] = asyncio.Queue()
     task = asyncio.create_task(follow(await agent.listen(), told.put_nowait, 2**20))
     try:
@@ -26,8 +26,8 @@
             await told.get()
         await asyncio.sleep(moment)
         if silent:
-            agent.silent_before = time.monotonic()
-        agent.change(ENTRY["host"], health="Terminating")
+            agent.unanswered_before = time.monotonic()
+        agent.update_entry(SERVER_ENTRY["host"], health="Terminating")
         changed = time.monotonic()
         with suppress(TimeoutError):
             async with asyncio.timeout(2 * TOLD):
@@ -61,7 +61,7 @@
         took = await slowest(silent=False)
         assert max(took.values()) <= TOLD - SLACK, took
 
-    run(test())
+    run_on_uvloop(test())
 
 
 def test_a_change_is_told_in_time_where_a_slow_discoverys_watch_has_fallen_silent():
@@ -71,14 +71,14 @@
         took = await slowest(silent=True)
         assert max(took.values()) <= TOLD, took
 
-    run(test())
+    run_on_uvloop(test())
 
 
 def test_a_move_to_a_slow_discovery_is_done_in_four_seconds():
     """Guards the 4 s after SIGHUP: its first list comes 2 s after the first call."""
 
     async def test() -> None:
-        agent, begun = Agent([ENTRY], 2.0), time.monotonic()
+        agent, begun = FakeDiscovery([SERVER_ENTRY], 2.0), time.monotonic()
         told: asyncio.Queue[HostList] = asyncio.Queue()
         task = asyncio.create_task(follow(await agent.listen(), told.put_nowait, 2**20))
         async with asyncio.timeout(10.0):
@@ -87,4 +87,4 @@
         task.cancel()
         await agent.runner.cleanup()
 
-    run(test())
+    run_on_uvloop(test())
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -6,7 +6,7 @@
 import asyncio
 
 import pytest
-from crossing_clients import play
+from crossing_clients import play_day
 from processkit import ROOT
 
 CLIENTS, SOCKETS, SECONDS = 30, 256, 8.0
@@ -18,7 +18,7 @@
     day = argparse.Namespace(seed=seed, clients=CLIENTS, sockets=SOCKETS, seconds=SECONDS, tree=ROOT)
 
     async def test() -> None:
-        code, counts, troubles = await play(day)
+        code, counts, troubles = await play_day(day)
         assert code == 0 and not any(fate.isupper() for fate in counts), (troubles, counts)
         assert counts["served"] > 0
 
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -7,10 +7,19 @@
 from collections import Counter
 
 import pytest
-from discoverykit import ENTRY, discovery, whole
-from faultkit import Faults
-from netkit import CUSTOMER, HOST, ID, Wire, command, configuration, options, run
-from processkit import free_port, serving
+from discoverykit import SERVER_ENTRY, hosts_response, scripted_discovery
+from faultkit import FaultInjector
+from netkit import (
+    CUSTOMER_ID,
+    HOST,
+    REQUEST_ID,
+    RespConnection,
+    pack_request,
+    raw_config,
+    raw_settings,
+    run_on_uvloop,
+)
+from processkit import free_port, running_gateway
 from test_descriptors import TableServer
 
 from thymehinge.interface import LifecycleState, ListKind, Server
@@ -24,7 +33,7 @@
 async def table_server(name: str) -> tuple[TableServer, dict]:
     """A server that answers with its name, and its entry, started long ago."""
     server = await TableServer(name, DELAY).listen()
-    return server, ENTRY | {"host": name, "dial": server.dial, "born_ms": 0}
+    return server, SERVER_ENTRY | {"host": name, "dial": server.dial, "born_ms": 0}
 
 
 async def shares(port: int, seconds: float) -> Counter[bytes]:
@@ -32,12 +41,12 @@
     counts: Counter[bytes] = Counter()
 
     async def client(number: int) -> None:
-        wire, until = Wire(*await asyncio.open_connection(HOST, port)), time.monotonic() + seconds
+        wire, until = RespConnection(*await asyncio.open_connection(HOST, port)), time.monotonic() + seconds
         for i in range(10**6):
             if time.monotonic() >= until:
                 return wire.writer.close()
-            wanted = command().replace(ID, b"%08x%08x" % (number, i))
-            wire.write(wanted.replace(CUSTOMER, b"%016x" % (number * 10**5 + i)))
+            wanted = pack_request().replace(REQUEST_ID, b"%08x%08x" % (number, i))
+            wire.write(wanted.replace(CUSTOMER_ID, b"%016x" % (number * 10**5 + i)))
             counts[await wire.read()] += 1
             await asyncio.sleep(0.02)
 
@@ -46,11 +55,11 @@
 
 
 def gateway_configuration(discovery_address: str, port: int, cold_time: float, known: dict | None) -> dict:
-    settings = options()
+    settings = raw_settings()
     settings["obligations"] |= {"cold_from": 0.2, "cold_s": cold_time, "fall_s": 1.0, "fall_multiple": 1.0}
     settings["bounds"]["peers"] = False
     where = {"listen": f"{HOST}:{port}", "discovery": discovery_address, "known": known}
-    return configuration(settings=settings, **where)
+    return raw_config(settings=settings, **where)
 
 
 @pytest.mark.parametrize(
@@ -74,19 +83,21 @@
     """
 
     async def test() -> None:
-        faults = Faults(tmp_path, clock_step_ms=round(before * 1000))
+        faults = FaultInjector(tmp_path, clock_step_ms=round(before * 1000))
         started = asyncio.Event()
         _, warm = await table_server("warm")
         _, cold = await table_server("cold")
 
         async def news():
             await started.wait()
-            return whole(2, cold | {"born_ms": round((time.time() + after) * 1000)}, complete=False)
+            return hosts_response(2, cold | {"born_ms": round((time.time() + after) * 1000)}, snapshot=False)
 
-        address, calls = await discovery([whole(1, warm), news, whole(2, complete=False)])
+        address, calls = await scripted_discovery(
+            [hosts_response(1, warm), news, hosts_response(2, snapshot=False)]
+        )
         port = free_port()
         config = gateway_configuration(address, port, 10.0, None)
-        async with serving(tmp_path / "config.json", config, **faults.environ):
+        async with running_gateway(tmp_path / "config.json", config, **faults.environ):
             await shares(port, 1.2)  # it learns what a warm server bears
             faults.set(clock_step_ms=round((before + after) * 1000))
             while len(calls) < 2:
@@ -97,7 +108,7 @@
             counts = await shares(port, SECONDS)
         assert counts[b"warm"] > 20 and counts[b"cold"] < 0.25 * counts[b"warm"]
 
-    run(test())
+    run_on_uvloop(test())
 
 
 @pytest.mark.parametrize("kind", ["known", "told"])
@@ -105,18 +116,18 @@
     """Guards service: the gateway's clock is an hour behind; the server is warm after its own time."""
 
     async def test() -> None:
-        faults = Faults(tmp_path, clock_step_ms=round(-HOUR * 1000))
+        faults = FaultInjector(tmp_path, clock_step_ms=round(-HOUR * 1000))
         _, server = await table_server("recent")
         entry = server | {"born_ms": round((time.time() - 60.0) * 1000)}
         known = {"seq": 1, "whole": True, "hosts": [entry]}
-        address, _ = await discovery([whole(1, entry)])
+        address, _ = await scripted_discovery([hosts_response(1, entry)])
         port = free_port()
         config = gateway_configuration(address, port, 1.0, known if kind == "known" else None)
-        async with serving(tmp_path / "config.json", config, **faults.environ):
+        async with running_gateway(tmp_path / "config.json", config, **faults.environ):
             await asyncio.sleep(1.2)
             assert (await shares(port, SECONDS))[b"recent"] > 20
 
-    run(test())
+    run_on_uvloop(test())
 
 
 class Clocks:
