--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -1,4 +1,4 @@
-"""What clients send: commands that can and cannot be read, silence, crowds and slow readers."""
+"""Client input: valid and malformed commands, silent connections, connection floods and slow readers."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "reason"),
+    ("arguments", "reason"),
     [
         ((b"API.READ",), "arguments"),
         ((b"API.READ", CUSTOMER_ID, REQUEST_ID, b"c=lookup,t=village,d=10", b"BODY"), "arguments"),
@@ -47,7 +47,7 @@
         ((b"HELLO", b"3"), "unknown command"),
         *(
             ((b"API.READ", CUSTOMER_ID, REQUEST_ID, b"c=lookup,t=village," + fields), reason)
-            for reason, tries in {
+            for reason, examples in {
                 "nonsensical d": (b"d=", b"d=soon", b"d=nan", b"d=-5", b"d=1e3", b"d=1_0", b"d= 1", b"d=+1"),
                 "nonsensical units": (b"d=9,units=nan", b"d=9,units=-400", b"d=9,units=1e12", b"d=9,units="),
                 "nonsensical spread": (b"d=9,spread=-1", b"d=9,spread=x", b"d=9,spread=1.5"),
@@ -55,15 +55,15 @@
                 "out of range": (b"d=0", b"d=60001", b"d=9,units=0", b"d=9,units=7", b"d=9,spread=3"),
                 "spread or first": (b"d=9,spread=0", b"d=9,first=2"),
             }.items()
-            for fields in tries
+            for fields in examples
         ),
     ],
 )
-def test_a_malformed_command_gets_a_reason_and_the_connection_goes_on(words, reason):
+def test_malformed_command_gets_error_and_connection_stays_open(arguments, reason):
     async def test() -> None:
-        kit = GatewayHarness()
-        client = await kit.connect_client()
-        client.write(hiredis.pack_command(words) + hiredis.pack_command((b"SELECT", b"0")))
+        harness = GatewayHarness()
+        client = await harness.connect_client()
+        client.write(hiredis.pack_command(arguments) + hiredis.pack_command((b"SELECT", b"0")))
         answer = await client.read()
         assert isinstance(answer, hiredis.ReplyError) and reason in str(answer)
         assert await client.read() == b"OK"
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "invalid_data",
     [
         b"GET /\r\n\r\n",
         b"k" * 100,
@@ -93,48 +93,47 @@
         pack_request(fields=b"c=lookup,t=village,d=3000").replace(b"$25", b"$24"),
     ],
 )
-def test_what_cannot_be_read_is_answered_and_the_connection_closed(bad):
-    """Guards servers against commands that no client meant: a wrong length yields another one.
+def test_protocol_error_is_sent_after_pending_replies_and_closes(invalid_data):
+    """Guards table servers against commands parsed with a wrong length, which no client sent.
 
-    What stood before it is answered first, also a request whose answer is still to come; others go on.
+    Earlier commands, even pending ones, are answered before the error; other connections stay open.
     """
 
     async def test() -> None:
-        kit, came = await harness_with_server()
-        other, client = await kit.connect_client(), await kit.connect_client()
+        harness, connections = await harness_with_server()
+        other_client, client = await harness.connect_client(), await harness.connect_client()
         client.write(hiredis.pack_command(("SELECT", "0")) + pack_request())
-        server = await next_item(came)
+        server = await next_item(connections)
         await server.read()
-        client.write(bad)
+        client.write(invalid_data)
         assert await client.read() == b"OK"
-        (connection,) = [c for c in kit.driver.clients.connections if c.pending]
+        (connection,) = [c for c in harness.driver.clients.connections if c.pending]
         async with asyncio.timeout(WAIT_TIMEOUT):
             while connection.phase is not client_connection.Phase.DRAINING:
                 await asyncio.sleep(0)
-        client.write(
-            pack_request().replace(REQUEST_ID, REQUEST_ID[::-1])
-        )  # reading has stopped at the nonsense
+        # ignored: reading has stopped at the protocol error
+        client.write(pack_request().replace(REQUEST_ID, REQUEST_ID[::-1]))
         server.write(success_reply(b"value"))
         assert await client.read() == b"value"
         assert "Protocol error" in str(await client.read())
         assert await client.wait_closed()
-        assert came.empty() and not kit.driver.exchanges
-        other.write(hiredis.pack_command(("CLIENT", "SETNAME", "x")))
-        assert await other.read() == b"OK"
+        assert connections.empty() and not harness.driver.exchanges
+        other_client.write(hiredis.pack_command(("CLIENT", "SETNAME", "x")))
+        assert await other_client.read() == b"OK"
 
     run_on_uvloop(test())
 
 
-def test_a_class_may_have_any_deadline():
-    """Guards other deployments: a minute was the most that any class could allow."""
+def test_class_timeout_above_one_minute_is_accepted():
+    """Guards against a fixed upper bound on the timeouts of request classes."""
 
     async def test() -> None:
         settings = raw_settings()
         settings["classes"][0] |= {"aim_s": 60.0, "give_up_s": 300.0}
-        kit, came = await harness_with_server(settings=settings)
-        client = await kit.connect_client()
+        harness, connections = await harness_with_server(settings=settings)
+        client = await harness.connect_client()
         client.write(pack_request(fields=b"c=lookup,t=village,d=300000"))
-        server = await next_item(came)
+        server = await next_item(connections)
         await server.read()
         server.write(success_reply(b"value"))
         assert await client.read() == b"value"
@@ -142,30 +141,30 @@
     run_on_uvloop(test())
 
 
-def test_an_id_that_is_open_elsewhere_is_turned_away_and_the_first_served():
-    """Guards two clients against each other's answers: a server drops a repeat, or answers it alike."""
+def test_duplicate_pending_id_is_rejected_and_first_request_served():
+    """Guards clients against each other's answers: servers drop duplicate ids or repeat the first answer."""
 
     async def test() -> None:
-        kit, came = await harness_with_server()
-        first, second = await kit.connect_client(), await kit.connect_client()
-        for value in (b"one", b"two"):  # the second time the id is free again
+        harness, connections = await harness_with_server()
+        first, second = await harness.connect_client(), await harness.connect_client()
+        for value in (b"one", b"two"):  # the id is free again the second time
             first.write(pack_request())
-            server = await next_item(came)
+            server = await next_item(connections)
             await server.read()
             second.write(pack_request().replace(REQUEST_ID, REQUEST_ID.upper()))
             assert "this id is open" in str(await second.read())
             server.write(success_reply(value))
             assert await first.read() == value
             server.writer.close()
-            await kit.wait_for_event(api.Outcome)
+            await harness.wait_for_event(api.Outcome)
 
     run_on_uvloop(test())
 
 
-def test_who_goes_on_with_nonsense_is_closed():
+def test_repeated_invalid_commands_close_connection():
     async def test() -> None:
-        kit = GatewayHarness()
-        client = await kit.connect_client()
+        harness = GatewayHarness()
+        client = await harness.connect_client()
         client.write(hiredis.pack_command((b"NONSENSE",)) * 600)
         for _ in range(client_connection.MAX_INVALID_COMMANDS):
             assert isinstance(await client.read(), hiredis.ReplyError)
@@ -174,105 +173,105 @@
     run_on_uvloop(test())
 
 
-def test_silence_and_half_commands_end_and_a_client_between_requests_stays():
-    """Guards descriptors against those who connect and say nothing, and 3 s for who sends half a command."""
+def test_silent_and_partial_connections_time_out_and_idle_ones_stay():
+    """Guards descriptors against silent clients; a partial command gets an error within 3 s."""
 
     async def test() -> None:
-        kit, came = await harness_with_server()
-        usual, half, silent, asking = [await kit.connect_client() for _ in range(4)]
-        for client in (usual, half):
+        harness, connections = await harness_with_server()
+        regular, partial, silent, ping_only = [await harness.connect_client() for _ in range(4)]
+        for client in (regular, partial):
             client.write(pack_request())
-            server = await next_item(came)
+            server = await next_item(connections)
             await server.read()
             server.write(success_reply(b"value"))
             assert await client.read() == b"value"
             server.writer.close()
-        half.write(pack_request()[:40])
-        asking.write(hiredis.pack_command(("PING",)))
-        assert await asking.read() == b"PONG"
+        partial.write(pack_request()[:40])
+        ping_only.write(hiredis.pack_command(("PING",)))
+        assert await ping_only.read() == b"PONG"
         async with asyncio.timeout(10):
-            while not kit.driver.clients.mid_command:
+            while not harness.driver.clients.mid_command:
                 await asyncio.sleep(0)
-        kit.sweep_after(1.0)
-        assert len(kit.driver.clients.connections) == 4
-        kit.sweep_after(2.5)
-        assert "does not come" in str(await half.read())
-        assert await half.wait_closed() and await silent.wait_closed() and await asking.wait_closed()
-        assert len(kit.driver.clients.connections) == 1
-        usual.write(pack_request())
-        await (await next_item(came)).read()
-        kit.sweep_after(60.0)
-        assert len(kit.driver.clients.connections) == 1  # with a request in hand it stays
-        usual.writer.close()
+        harness.sweep_after(1.0)
+        assert len(harness.driver.clients.connections) == 4
+        harness.sweep_after(2.5)
+        assert "does not come" in str(await partial.read())
+        assert await partial.wait_closed() and await silent.wait_closed() and await ping_only.wait_closed()
+        assert len(harness.driver.clients.connections) == 1
+        regular.write(pack_request())
+        await (await next_item(connections)).read()
+        harness.sweep_after(60.0)
+        assert len(harness.driver.clients.connections) == 1  # its request is pending
+        regular.writer.close()
 
     run_on_uvloop(test())
 
 
-def test_a_crowd_of_silent_connections_takes_no_more_descriptors_than_there_are():
-    """Guards usual clients at the bound: the silent make way, and a closing one counts until it is gone."""
+def test_silent_connections_stay_within_descriptor_limit():
+    """Guards regular clients at the limit: silent ones are evicted, and closing ones count until closed."""
 
     async def test() -> None:
-        kit, came = await harness_with_server()
-        usual = await kit.connect_client()
-        usual.write(pack_request())
-        server = await next_item(came)
+        harness, connections = await harness_with_server()
+        regular = await harness.connect_client()
+        regular.write(pack_request())
+        server = await next_item(connections)
         await server.read()
-        most, seen = kit.driver.clients.max_connections, []
-        forget = kit.driver.clients.remove_connection
-        kit.driver.clients.remove_connection = lambda c: (
-            seen.append(kit.driver.clients.open_connections),
-            forget(c),
+        max_connections, observed = harness.driver.clients.max_connections, []
+        remove_connection = harness.driver.clients.remove_connection
+        harness.driver.clients.remove_connection = lambda c: (
+            observed.append(harness.driver.clients.open_connections),
+            remove_connection(c),
         )
-        address = kit.listener.getsockname()
-        crowd = []
-        for _ in range(3 * most):
+        address = harness.listener.getsockname()
+        silent_sockets = []
+        for _ in range(3 * max_connections):
             sock = socket.socket()
             sock.setblocking(False)
             sock.connect_ex(address)
-            crowd.append(sock)
+            silent_sockets.append(sock)
         async with asyncio.timeout(WAIT_TIMEOUT):
-            while len(seen) < 2 * most:
+            while len(observed) < 2 * max_connections:
                 await asyncio.sleep(0)
-            assert max(seen) <= most
+            assert max(observed) <= max_connections
             server.write(success_reply(b"value"))
-            assert await usual.read() == b"value"
-            last = await kit.connect_client()
-            last.write(hiredis.pack_command(("PING",)))
-            assert await last.read() == b"PONG"
-        for sock in crowd:
+            assert await regular.read() == b"value"
+            new_client = await harness.connect_client()
+            new_client.write(hiredis.pack_command(("PING",)))
+            assert await new_client.read() == b"PONG"
+        for sock in silent_sockets:
             sock.close()
 
     run_on_uvloop(test())
 
 
-def test_ping_tells_of_readiness():
+def test_ping_reports_readiness():
     async def test() -> None:
-        kit = GatewayHarness()
-        client = await kit.connect_client()
+        harness = GatewayHarness()
+        client = await harness.connect_client()
         client.write(hiredis.pack_command(("PING",)))
         assert isinstance(await client.read(), hiredis.ReplyError)
-        kit.driver.on_list(host_list(s1="127.0.0.1:1"))
+        harness.driver.on_list(host_list(s1="127.0.0.1:1"))
         client.write(hiredis.pack_command(("PING",)))
         assert await client.read() == b"PONG"
 
     run_on_uvloop(test())
 
 
-def test_a_client_that_does_not_read_is_not_read_from(monkeypatch):
-    """Guards the memory limit: answers pile up only to the transport's bound."""
-    # a busy machine may take long to fill all buffers
+def test_slow_reader_is_paused_and_closed(monkeypatch):
+    """Guards the memory limit: replies are buffered only up to the transport's high-water mark."""
+    # filling all buffers may take long on a busy machine
     monkeypatch.setattr(clients, "FIRST_REQUEST_TIMEOUT", 600.0)
 
     async def test() -> None:
-        kit = GatewayHarness()
-        client = await kit.connect_client()
+        harness = GatewayHarness()
+        client = await harness.connect_client()
         ping = hiredis.pack_command(("PING",)) * 1000
         client.stream_reader._transport.pause_reading()
         async with asyncio.timeout(10):
-            while not kit.driver.clients.slow_readers:
+            while not harness.driver.clients.slow_readers:
                 client.write(ping)
                 await asyncio.sleep(0)
-        kit.sweep_after(60.0)
+        harness.sweep_after(60.0)
         client.stream_reader._transport.resume_reading()
         with pytest.raises((EOFError, ConnectionError)):
             while True:
@@ -281,24 +280,24 @@
     run_on_uvloop(test())
 
 
-@pytest.mark.parametrize("cut", range(1, 60))
-def test_a_command_is_the_same_wherever_the_stream_is_cut(cut):
-    """Guards bodies that look like headers, too."""
-    words = (b"A", b"*99999\r\n*12", b"*1", b"")
-    data = hiredis.pack_command(words) * 2
-    commands, got = CommandParser(), []
-    for part in (data[:cut], data[cut:]):
-        commands.feed(part)
-        while (command := commands.next_command()) is not None:
-            got.append(command)
-    assert got == [list(words)] * 2 and not commands.has_unparsed()
+@pytest.mark.parametrize("split_at", range(1, 60))
+def test_command_split_at_any_byte_parses_the_same(split_at):
+    """Guards the parser at every split point, also in arguments that look like headers."""
+    arguments = (b"A", b"*99999\r\n*12", b"*1", b"")
+    data = hiredis.pack_command(arguments) * 2
+    parser, parsed = CommandParser(), []
+    for chunk in (data[:split_at], data[split_at:]):
+        parser.feed(chunk)
+        while (command := parser.next_command()) is not None:
+            parsed.append(command)
+    assert parsed == [list(arguments)] * 2 and not parser.has_unparsed()
 
 
-@pytest.mark.parametrize("cut", range(1, 11))
-def test_an_absurd_length_is_refused_wherever_it_is_cut(cut):
-    commands = CommandParser()
-    commands.feed(b"*4000000000\r\n"[:cut])
+@pytest.mark.parametrize("split_at", range(1, 11))
+def test_excessive_length_split_at_any_byte_is_rejected(split_at):
+    parser = CommandParser()
+    parser.feed(b"*4000000000\r\n"[:split_at])
     with pytest.raises(ProtocolError):
-        commands.next_command()
-        commands.feed(b"*4000000000\r\n"[cut:])
-        commands.next_command()
+        parser.next_command()
+        parser.feed(b"*4000000000\r\n"[split_at:])
+        parser.next_command()
--- a/tests/test_connection_end.py
+++ b/tests/test_connection_end.py
@@ -1,4 +1,4 @@
-"""How this side ends a client's connection: what is in hand is answered first, whatever ends it."""
+"""Closing client connections: pending requests are answered first, whatever the trigger."""
 
 from __future__ import annotations
 
@@ -26,31 +26,31 @@
 from thymehinge.net import client_connection, clients
 from thymehinge.net.client_connection import ClientConnection
 
-OTHER = REQUEST_ID[::-1]
-HALF = pack_request().replace(REQUEST_ID, OTHER)[:20]
-LARGE = b"x" * 1024 * 1024
-KERNEL = 64 * 1024  # bytes that each end of a connection takes in unread, about
-NONSENSE = hiredis.pack_command(("NONSENSE",))
+OTHER_REQUEST_ID = REQUEST_ID[::-1]
+PARTIAL_REQUEST = pack_request().replace(REQUEST_ID, OTHER_REQUEST_ID)[:20]
+LARGE_VALUE = b"x" * 1024 * 1024
+SOCKET_BUFFER_SIZE = 64 * 1024  # bytes; about what the kernel buffers at each end
+UNKNOWN_COMMAND = hiredis.pack_command(("NONSENSE",))
 
 
-async def connection_where(
-    kit: GatewayHarness, condition: Callable[[ClientConnection], bool]
+async def wait_for_connection(
+    harness: GatewayHarness, condition: Callable[[ClientConnection], bool]
 ) -> ClientConnection:
-    """Wait for a connection that this side sees in some condition."""
+    """Waits for a connection of the gateway that satisfies a condition, and returns it."""
     async with asyncio.timeout(WAIT_TIMEOUT):
         while True:
-            for connection in kit.driver.clients.connections:
+            for connection in harness.driver.clients.connections:
                 if condition(connection):
                     return connection
             await asyncio.sleep(0)
 
 
-def test_a_request_is_answered_before_silence_in_the_next_command_ends_the_connection():
+def test_pending_request_is_answered_before_partial_command_timeout_closes():
     async def test() -> None:
-        kit, came = await harness_with_server()
-        client, server = await request_in_flight(kit, came, HALF)
-        await connection_where(kit, lambda c: c in kit.driver.clients.mid_command)
-        kit.sweep_after(clients.PARTIAL_COMMAND_TIMEOUT + 0.1)
+        harness, connections = await harness_with_server()
+        client, server = await request_in_flight(harness, connections, PARTIAL_REQUEST)
+        await wait_for_connection(harness, lambda c: c in harness.driver.clients.mid_command)
+        harness.sweep_after(clients.PARTIAL_COMMAND_TIMEOUT + 0.1)
         server.write(success_reply(b"value"))
         assert await client.read() == b"value"
         assert "does not come" in str(await client.read())
@@ -59,11 +59,13 @@
     run_on_uvloop(test())
 
 
-def test_a_request_is_answered_before_nonsensical_commands_end_the_connection():
+def test_pending_request_is_answered_before_invalid_commands_close():
     async def test() -> None:
-        kit, came = await harness_with_server()
-        client, server = await request_in_flight(kit, came, NONSENSE * client_connection.MAX_INVALID_COMMANDS)
-        await connection_where(kit, lambda c: c.phase is client_connection.Phase.DRAINING)
+        harness, connections = await harness_with_server()
+        client, server = await request_in_flight(
+            harness, connections, UNKNOWN_COMMAND * client_connection.MAX_INVALID_COMMANDS
+        )
+        await wait_for_connection(harness, lambda c: c.phase is client_connection.Phase.DRAINING)
         server.write(success_reply(b"value"))
         assert await client.read() == b"value"
         for _ in range(client_connection.MAX_INVALID_COMMANDS):
@@ -73,26 +75,28 @@
     run_on_uvloop(test())
 
 
-async def write_slowly(kit: GatewayHarness, client: RespConnection, data: bytes, gap: float) -> None:
-    """Write a command in three pieces with so many seconds of the gateway's clock between them."""
+async def write_slowly(harness: GatewayHarness, client: RespConnection, data: bytes, interval: float) -> None:
+    """Writes a command in three chunks, with an interval in seconds of the gateway's clock between them."""
     third = len(data) // 3
-    for piece in (data[:third], data[third : 2 * third]):
-        before = dict(kit.driver.clients.mid_command)
-        client.write(piece)
-        await connection_where(kit, lambda c, before=before: kit.driver.clients.mid_command != before)
-        kit.clock_offset += gap
-        kit.driver.clients.sweep()
+    for chunk in (data[:third], data[third : 2 * third]):
+        before = dict(harness.driver.clients.mid_command)
+        client.write(chunk)
+        await wait_for_connection(
+            harness, lambda c, before=before: harness.driver.clients.mid_command != before
+        )
+        harness.clock_offset += interval
+        harness.driver.clients.sweep()
     client.write(data[2 * third :])
 
 
-def test_a_new_client_may_write_its_first_command_slowly():
-    """Guards the limit on silence: it counts from the latest byte, not from the first."""
+def test_slow_first_command_is_accepted():
+    """Guards the partial command timeout: it counts from the latest data, not the first."""
 
     async def test() -> None:
-        kit, came = await harness_with_server()
-        client = await kit.connect_client()
-        await write_slowly(kit, client, pack_request(), 0.9 * clients.PARTIAL_COMMAND_TIMEOUT)
-        server = await next_item(came)
+        harness, connections = await harness_with_server()
+        client = await harness.connect_client()
+        await write_slowly(harness, client, pack_request(), 0.9 * clients.PARTIAL_COMMAND_TIMEOUT)
+        server = await next_item(connections)
         await server.read()
         server.write(success_reply(b"value"))
         assert await client.read() == b"value"
@@ -100,43 +104,46 @@
     run_on_uvloop(test())
 
 
-def test_a_client_that_asks_again_at_last_is_not_ended_as_one_that_rests():
-    """Guards a command that is coming when its connection has been idle for as long as it may."""
+def test_idle_timeout_does_not_close_mid_command():
+    """Guards a command that is still arriving when the idle timeout of its connection expires."""
 
     async def test() -> None:
-        kit, came = await harness_with_server()
-        client, server = await request_in_flight(kit, came)
+        harness, connections = await harness_with_server()
+        client, server = await request_in_flight(harness, connections)
         server.write(success_reply(b"value"))
         assert await client.read() == b"value"
-        client.write(HALF)
-        await connection_where(kit, lambda c: c in kit.driver.clients.mid_command)
-        kit.clock_offset += 0.9 * clients.PARTIAL_COMMAND_TIMEOUT
-        kit.driver.clients.clock, clock = lambda: clock() + clients.IDLE_TIMEOUT, kit.driver.clients.clock
-        (connection,) = kit.driver.clients.mid_command
-        kit.driver.clients.mid_command[connection] = connection.command_started_at = (
-            kit.driver.clients.clock()
+        client.write(PARTIAL_REQUEST)
+        await wait_for_connection(harness, lambda c: c in harness.driver.clients.mid_command)
+        harness.clock_offset += 0.9 * clients.PARTIAL_COMMAND_TIMEOUT
+        harness.driver.clients.clock, clock = (
+            lambda: clock() + clients.IDLE_TIMEOUT,
+            harness.driver.clients.clock,
+        )
+        (connection,) = harness.driver.clients.mid_command
+        harness.driver.clients.mid_command[connection] = connection.command_started_at = (
+            harness.driver.clients.clock()
         )
-        kit.driver.clients.sweep()
+        harness.driver.clients.sweep()
         assert connection.phase is client_connection.Phase.OPEN
 
     run_on_uvloop(test())
 
 
-def test_a_command_in_pieces_is_bounded_by_the_longest_deadline():
+def test_slow_command_is_limited_by_longest_timeout():
     async def test() -> None:
-        kit, _ = await harness_with_server()
-        longest = kit.driver.clients.longest_timeout
-        client = await kit.connect_client()
-        client.write(HALF)
-        connection = await connection_where(kit, lambda c: c in kit.driver.clients.mid_command)
+        harness, _ = await harness_with_server()
+        longest = harness.driver.clients.longest_timeout
+        client = await harness.connect_client()
+        client.write(PARTIAL_REQUEST)
+        connection = await wait_for_connection(harness, lambda c: c in harness.driver.clients.mid_command)
         for _ in range(int(longest)):
-            kit.clock_offset += 1.0
+            harness.clock_offset += 1.0
             client.write(b"0")
             before = len(connection.parser.buffer)
-            await connection_where(kit, lambda c, before=before: len(c.parser.buffer) > before)
-            kit.driver.clients.sweep()
-        kit.clock_offset += 1.0
-        kit.driver.clients.sweep()
+            await wait_for_connection(harness, lambda c, before=before: len(c.parser.buffer) > before)
+            harness.driver.clients.sweep()
+        harness.clock_offset += 1.0
+        harness.driver.clients.sweep()
         assert connection.phase is client_connection.Phase.CLOSED
         assert "does not come" in str(await client.read())
         assert await client.wait_closed()
@@ -144,18 +151,18 @@
     run_on_uvloop(test())
 
 
-def test_a_command_in_pieces_has_its_time_also_where_all_deadlines_are_short():
-    """Guards slow writers on days whose requests have less than the silence that is borne."""
+def test_slow_command_is_accepted_when_all_timeouts_are_short():
+    """Guards slow writers in deployments whose timeouts are shorter than the partial command timeout."""
 
     async def test() -> None:
         settings = raw_settings()
-        for cls in settings["classes"]:
-            cls |= {"aim_s": 0.2, "give_up_s": 0.4}
-        kit, came = await harness_with_server(settings=settings)
-        client = await kit.connect_client()
+        for request_class in settings["classes"]:
+            request_class |= {"aim_s": 0.2, "give_up_s": 0.4}
+        harness, connections = await harness_with_server(settings=settings)
+        client = await harness.connect_client()
         data = pack_request(fields=b"c=lookup,t=village,d=400")
-        await write_slowly(kit, client, data, 0.9 * clients.PARTIAL_COMMAND_TIMEOUT / 2)
-        server = await next_item(came)
+        await write_slowly(harness, client, data, 0.9 * clients.PARTIAL_COMMAND_TIMEOUT / 2)
+        server = await next_item(connections)
         await server.read()
         server.write(success_reply(b"value"))
         assert await client.read() == b"value"
@@ -163,162 +170,170 @@
     run_on_uvloop(test())
 
 
-def test_half_a_command_makes_way_only_with_nothing_in_hand():
-    """Guards requests where others wait for a descriptor."""
+def test_partial_command_is_evicted_only_without_pending_requests():
+    """Guards pending requests against eviction when descriptors are needed."""
 
     async def test() -> None:
-        kit, came = await harness_with_server()
-        busy, server = await request_in_flight(kit, came, HALF)
-        halfway = await kit.connect_client()
-        halfway.write(HALF)
-        await connection_where(kit, lambda c: len(kit.driver.clients.mid_command) == 2)
-        kit.driver.clients.evict_connection()  # it has been at it for a moment only
-        assert len(kit.driver.clients.mid_command) == 2
-        kit.clock_offset += 2 * clients.FIRST_REQUEST_GRACE
-        kit.driver.clients.evict_connection()
-        assert await halfway.wait_closed()
-        kit.driver.clients.evict_connection()
+        harness, connections = await harness_with_server()
+        pending_client, server = await request_in_flight(harness, connections, PARTIAL_REQUEST)
+        partial_client = await harness.connect_client()
+        partial_client.write(PARTIAL_REQUEST)
+        await wait_for_connection(harness, lambda c: len(harness.driver.clients.mid_command) == 2)
+        harness.driver.clients.evict_connection()  # still within its grace
+        assert len(harness.driver.clients.mid_command) == 2
+        harness.clock_offset += 2 * clients.FIRST_REQUEST_GRACE
+        harness.driver.clients.evict_connection()
+        assert await partial_client.wait_closed()
+        harness.driver.clients.evict_connection()
         server.write(success_reply(b"value"))
-        assert await busy.read() == b"value"
+        assert await pending_client.read() == b"value"
 
     run_on_uvloop(test())
 
 
-def test_a_drain_leaves_half_a_command_its_time_and_ends_it_after_silence():
+def test_drain_keeps_partial_command_until_its_timeout():
     async def test() -> None:
-        kit, came = await harness_with_server()
-        client, server = await request_in_flight(kit, came, HALF)
-        await connection_where(kit, lambda c: c in kit.driver.clients.mid_command)
-        kit.driver.clients.drain()
+        harness, connections = await harness_with_server()
+        client, server = await request_in_flight(harness, connections, PARTIAL_REQUEST)
+        await wait_for_connection(harness, lambda c: c in harness.driver.clients.mid_command)
+        harness.driver.clients.drain()
         server.write(success_reply(b"value"))
         assert await client.read() == b"value"
-        assert not kit.driver.clients.drain()
-        kit.sweep_after(clients.PARTIAL_COMMAND_TIMEOUT + 0.1)
+        assert not harness.driver.clients.drain()
+        harness.sweep_after(clients.PARTIAL_COMMAND_TIMEOUT + 0.1)
         assert "does not come" in str(await client.read())
         assert await client.wait_closed()
 
     run_on_uvloop(test())
 
 
-async def large_answer_unread(
-    kit: GatewayHarness, came: asyncio.Queue[RespConnection], behind: bytes = b""
+async def send_unread_large_answer(
+    harness: GatewayHarness, connections: asyncio.Queue[RespConnection], following: bytes = b""
 ) -> tuple[RespConnection, ClientConnection]:
-    """A client that reads nothing, and an answer on its way that is more than the kernel takes."""
-    client = await kit.connect_client()
-    (connection,) = kit.driver.clients.connections
-    connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, KERNEL)
-    client.limit_receiving(KERNEL)
+    """Sends a client that does not read an answer larger than the kernel buffers.
+
+    Returns the client and the gateway's end of its connection. `following` holds one more request, if any.
+    """
+    client = await harness.connect_client()
+    (connection,) = harness.driver.clients.connections
+    connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SOCKET_BUFFER_SIZE)
+    client.limit_receiving(SOCKET_BUFFER_SIZE)
     client.stream_reader._transport.pause_reading()
-    client.write(pack_request() + behind)
-    servers = [await next_item(came) for _ in range(2 if behind else 1)]
+    client.write(pack_request() + following)
+    servers = [await next_item(connections) for _ in range(2 if following else 1)]
     for server in servers:
         if (await server.read())[2] == REQUEST_ID:
-            server.write(success_reply(LARGE))
+            server.write(success_reply(LARGE_VALUE))
     async with asyncio.timeout(WAIT_TIMEOUT):
         while not connection.transport.get_write_buffer_size():
             await asyncio.sleep(0)
     return client, connection
 
 
-def test_an_answer_that_lies_unread_at_the_close_stays_until_its_deadline():
-    """Guards answers that wait in our own buffers: a second was all that they had."""
+def test_unread_answer_survives_close_until_deadline():
+    """Guards answers in the gateway's own buffers: the linger timeout is shorter than the deadline."""
 
     async def test() -> None:
-        kit, came = await harness_with_server()
-        client, connection = await large_answer_unread(kit, came)
-        kit.driver.clients.drain()
+        harness, connections = await harness_with_server()
+        client, connection = await send_unread_large_answer(harness, connections)
+        harness.driver.clients.drain()
         assert connection.phase is client_connection.Phase.CLOSED
-        kit.sweep_after(client_connection.LINGER_TIMEOUT + 0.5)  # its client waits for 3 s
+        harness.sweep_after(client_connection.LINGER_TIMEOUT + 0.5)  # before the deadline of 3 s
         client.stream_reader._transport.resume_reading()
-        assert await client.read() == LARGE
+        assert await client.read() == LARGE_VALUE
         assert await client.wait_closed()
 
     run_on_uvloop(test())
 
 
-def test_an_answer_that_lies_unread_past_its_deadline_is_dropped():
-    """Guards descriptors against clients that read nothing."""
+def test_unread_answer_is_dropped_after_deadline():
+    """Guards descriptors against clients that never read."""
 
     async def test() -> None:
-        kit, came = await harness_with_server()
-        _, connection = await large_answer_unread(kit, came)
-        kit.driver.clients.drain()
-        kit.sweep_after(3.0 + client_connection.ANSWER_GRACE)
+        harness, connections = await harness_with_server()
+        _, connection = await send_unread_large_answer(harness, connections)
+        harness.driver.clients.drain()
+        harness.sweep_after(3.0 + client_connection.ANSWER_GRACE)
         async with asyncio.timeout(WAIT_TIMEOUT):
-            while kit.driver.clients.connections:
+            while harness.driver.clients.connections:
                 await asyncio.sleep(0)
         assert connection.transport.is_closing()
 
     run_on_uvloop(test())
 
 
-@pytest.mark.parametrize(("seconds", "kept"), [(40.0, True), (301.0, False)])
-def test_answers_may_lie_unread_for_as_long_as_a_class_may_wait(seconds, kept):
-    """Guards deployments whose requests may take longer than the half minute that was the bound."""
+@pytest.mark.parametrize(("seconds", "stays_open"), [(40.0, True), (301.0, False)])
+def test_slow_reader_timeout_follows_longest_class_timeout(seconds, stays_open):
+    """Guards deployments whose timeouts exceed the minimum slow reader timeout of 30 s."""
 
     async def test() -> None:
         settings = raw_settings()
         settings["classes"][0] |= {"aim_s": 60.0, "give_up_s": 300.0}
-        kit, came = await harness_with_server(settings=settings)
-        _, connection = await large_answer_unread(kit, came, pack_request().replace(REQUEST_ID, OTHER))
-        kit.sweep_after(seconds)
-        assert (connection.phase is client_connection.Phase.OPEN) is kept
+        harness, connections = await harness_with_server(settings=settings)
+        _, connection = await send_unread_large_answer(
+            harness, connections, pack_request().replace(REQUEST_ID, OTHER_REQUEST_ID)
+        )
+        harness.sweep_after(seconds)
+        assert (connection.phase is client_connection.Phase.OPEN) is stays_open
 
     run_on_uvloop(test())
 
 
-def test_who_has_just_come_does_not_make_way_before_asking():
-    """Guards first requests on their way: where nobody was idle, each newcomer pushed out the last one."""
+def test_new_connection_is_not_evicted_before_first_request():
+    """Guards first requests in transit: a new connection must not evict the one before."""
 
     async def test() -> None:
-        kit, came = await harness_with_server()
-        kit.driver.clients.max_connections = 2
-        crowd = [await kit.connect_client() for _ in range(3)]
+        harness, connections = await harness_with_server()
+        harness.driver.clients.max_connections = 2
+        new_clients = [await harness.connect_client() for _ in range(3)]
         async with asyncio.timeout(WAIT_TIMEOUT):
-            while not kit.driver.clients.accept_paused:
+            while not harness.driver.clients.accept_paused:
                 await asyncio.sleep(0)
-        assert len(kit.driver.clients.awaiting_first_request) == 2
-        kit.driver.clients.evict_connection()
-        for i, client in enumerate(crowd[:2]):
-            client.write(pack_request().replace(REQUEST_ID, b"%016x" % i))
-            server = await next_item(came)
+        assert len(harness.driver.clients.awaiting_first_request) == 2
+        harness.driver.clients.evict_connection()
+        for index, client in enumerate(new_clients[:2]):
+            client.write(pack_request().replace(REQUEST_ID, b"%016x" % index))
+            server = await next_item(connections)
             await server.read()
             server.write(success_reply(b"value"))
             assert await client.read() == b"value"
-        kit.driver.clients.sweep()  # those two are idle now, and one of them makes way
-        crowd[2].write(pack_request())
-        server = await next_item(came)
+        harness.driver.clients.sweep()  # both are idle now, and one of them is evicted
+        new_clients[2].write(pack_request())
+        server = await next_item(connections)
         await server.read()
         server.write(success_reply(b"value"))
-        assert await crowd[2].read() == b"value"
+        assert await new_clients[2].read() == b"value"
 
     run_on_uvloop(test())
 
 
-def end_of_idleness(kit: GatewayHarness) -> None:
-    kit.sweep_after(clients.IDLE_TIMEOUT + 1.0)
+def expire_idle(harness: GatewayHarness) -> None:
+    harness.sweep_after(clients.IDLE_TIMEOUT + 1.0)
 
 
-def need_of_a_descriptor(kit: GatewayHarness) -> None:
-    kit.driver.clients.evict_connection()
+def evict_one(harness: GatewayHarness) -> None:
+    harness.driver.clients.evict_connection()
 
 
-def end_of_the_process(kit: GatewayHarness) -> None:
-    kit.driver.clients.drain()
+def start_drain(harness: GatewayHarness) -> None:
+    harness.driver.clients.drain()
 
 
-@pytest.mark.parametrize("ends", [end_of_idleness, need_of_a_descriptor, end_of_the_process])
-def test_a_request_that_lies_unread_keeps_its_connection_open(ends):
-    """Guards what crosses an end: after a stall a request may have lain in the kernel for a while."""
+@pytest.mark.parametrize("trigger_close", [expire_idle, evict_one, start_drain])
+def test_unread_request_keeps_connection_open(trigger_close):
+    """Guards requests that race with a close: after a stall they may be unread in the kernel's buffer."""
 
     async def test() -> None:
-        kit, came = await harness_with_server()
-        client, server = await request_in_flight(kit, came)
+        harness, connections = await harness_with_server()
+        client, server = await request_in_flight(harness, connections)
         server.write(success_reply(b"first"))
         assert await client.read() == b"first"
-        await kit.wait_reusable("s1")
-        os.write(client.writer.get_extra_info("socket").fileno(), pack_request().replace(REQUEST_ID, OTHER))
-        ends(kit)  # with no turn of the loop since
+        await harness.wait_reusable("s1")
+        os.write(
+            client.writer.get_extra_info("socket").fileno(),
+            pack_request().replace(REQUEST_ID, OTHER_REQUEST_ID),
+        )
+        trigger_close(harness)  # without a turn of the event loop since the write
         await server.read()
         server.write(success_reply(b"second"))
         assert await client.read() == b"second"
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Idle clients fill what the gateway takes while discovery is away: everything else has its descriptors."""
+"""Descriptor limits: clients at their limit leave descriptors for table servers, peers and discovery."""
 
 from __future__ import annotations
 
@@ -36,14 +36,14 @@
 from thymehinge.net import clients
 from thymehinge.net.driver import RESERVE, SERVER_PART
 
-SOCKETS = 128  # descriptors of the process, by its limit and by its configuration
-MOST = SOCKETS - RESERVE - int((SOCKETS - RESERVE) * SERVER_PART)  # of them for clients
-SILENT = 3 * MOST  # clients that say nothing: more wait at any time than the gateway takes
+MAX_SOCKETS = 128  # descriptors of the process, by its rlimit and by its configuration
+MAX_CLIENTS = MAX_SOCKETS - RESERVE - int((MAX_SOCKETS - RESERVE) * SERVER_PART)  # the part for clients
+SILENT_CLIENTS = 3 * MAX_CLIENTS  # connections without a request, more than the gateway accepts
 
 
-def requests(fields: bytes = b"c=lookup,t=village,d=3000", first: int = 1) -> Iterator[bytes]:
-    """Commands with an id each, of a customer each, so that no quota is in the way."""
-    for number in count(first):
+def numbered_requests(fields: bytes = b"c=lookup,t=village,d=3000", first_number: int = 1) -> Iterator[bytes]:
+    """Yields requests, each with its own id and customer, so that no quota applies."""
+    for number in count(first_number):
         yield (
             pack_request(fields=fields)
             .replace(REQUEST_ID, b"%016x" % number)
@@ -52,275 +52,303 @@
 
 
 class TableServer:
-    """Serves all, at once or after a delay (s), with its name as the value."""
+    """A table server that answers every request with its name, after a delay in seconds."""
 
     def __init__(self, name: str, delay: float = 0.0) -> None:
-        self.name, self.delay, self.wires, self.made = name, delay, [], 0
+        self.name, self.delay, self.connections, self.connections_made = name, delay, [], 0
 
     async def listen(self) -> TableServer:
+        """Starts the server and returns it."""
         server = await asyncio.start_server(self.serve, HOST, 0)
-        self.dial = "{}:{}".format(*server.sockets[0].getsockname())
+        self.address = "{}:{}".format(*server.sockets[0].getsockname())
         return self
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        wire = RespConnection(reader, writer)
-        self.wires.append(wire)
-        self.made += 1
+        connection = RespConnection(reader, writer)
+        self.connections.append(connection)
+        self.connections_made += 1
         with suppress(EOFError, ConnectionError, TimeoutError):
             while True:
-                await wire.read()
+                await connection.read()
                 if self.delay:
                     await asyncio.sleep(self.delay)
-                wire.write(success_reply(self.name.encode()))
+                connection.write(success_reply(self.name.encode()))
 
-    def hang_up(self) -> None:
-        """Close all connections, so that the next request needs a new one."""
-        for wire in self.wires:
-            wire.writer.close()
-        self.wires.clear()
+    def close_connections(self) -> None:
+        """Closes all connections, so that the next request needs a new one."""
+        for connection in self.connections:
+            connection.writer.close()
+        self.connections.clear()
 
 
-class Agent:
-    """Discovery that is away, by refusing or by saying nothing, until it returns."""
+class UnavailableDiscovery:
+    """A discovery server that refuses connections or does not answer until it recovers."""
 
-    def __init__(self, refuses: bool) -> None:
-        self.refuses, self.back, self.sock = refuses, asyncio.Event(), socket.socket()
+    def __init__(self, refuses_connections: bool) -> None:
+        self.refuses_connections, self.available, self.sock = (
+            refuses_connections,
+            asyncio.Event(),
+            socket.socket(),
+        )
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.sock.bind((HOST, 0))
         self.address = "{}:{}".format(*self.sock.getsockname())
 
-    async def begin(self) -> None:
-        if not self.refuses:
-            await asyncio.start_server(self.answer, sock=self.sock)
+    async def start(self) -> None:
+        if not self.refuses_connections:
+            await asyncio.start_server(self.handle, sock=self.sock)
 
-    async def come_back(self, entry: dict) -> None:
+    async def recover(self, entry: dict) -> None:
+        """Answers new calls from now on, with a snapshot of one entry."""
         self.entry = entry
-        self.back.set()
-        if self.refuses:
-            await asyncio.start_server(self.answer, sock=self.sock)
+        self.available.set()
+        if self.refuses_connections:
+            await asyncio.start_server(self.handle, sock=self.sock)
 
-    async def answer(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with suppress(asyncio.IncompleteReadError, ConnectionError):
             while True:
-                asked = await reader.readuntil(b"\r\n\r\n")
-                if not self.back.is_set() or b"since=" in asked:
-                    await asyncio.sleep(600)  # also once it has returned, a call that came before is lost
+                head = await reader.readuntil(b"\r\n\r\n")
+                if not self.available.is_set() or b"since=" in head:
+                    await asyncio.sleep(600)  # no answer to watches and to calls before the recovery
                 body = json.dumps({"seq": 2, "whole": True, "hosts": [self.entry]}).encode()
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
 
 
-async def ask(port: int, request: bytes) -> tuple[RespConnection, object]:
-    """A new client's request and its answer."""
+async def send_request(port: int, request: bytes) -> tuple[RespConnection, object]:
+    """Sends a request on a new connection; returns the connection and the answer."""
     async with asyncio.timeout(WAIT_TIMEOUT):
         client = RespConnection(*await asyncio.open_connection(HOST, port))
     client.write(request)
     return client, await client.read()
 
 
-async def value(port: int, request: bytes) -> object:
-    client, answer = await ask(port, request)
+async def fetch_answer(port: int, request: bytes) -> object:
+    """Sends a request on a new connection and closes it; returns the answer."""
+    client, answer = await send_request(port, request)
     client.writer.close()
     return answer
 
 
 @dataclass(frozen=True)
-class Crowded:
-    """A gateway as a process of its own, with a peer, that may hold `SOCKETS` descriptors and no more."""
+class LimitedGateway:
+    """A gateway process with a peer and a limit of MAX_SOCKETS descriptors."""
 
     process: subprocess.Popen
     port: int
     peer: socket.socket
 
-    def held(self) -> int:
+    def open_descriptors(self) -> int:
         return len(os.listdir(f"/proc/{self.process.pid}/fd"))
 
 
 @asynccontextmanager
-async def crowded(path: Path, agent: Agent, dial: str, names: int = 1) -> AsyncIterator[Crowded]:
-    """The program with so many table servers at an address in its configuration, ready to serve."""
-    await agent.begin()
-    with socket.socket() as free, socket.socket(type=socket.SOCK_DGRAM) as free_peer:
-        free.bind((HOST, 0)), free_peer.bind((HOST, 0))
-        port, own = free.getsockname()[1], "{}:{}".format(*free_peer.getsockname())
-    with socket.socket(type=socket.SOCK_DGRAM) as peer, agent.sock:
+async def limited_gateway(
+    path: Path, discovery: UnavailableDiscovery, address: str, server_count: int = 1
+) -> AsyncIterator[LimitedGateway]:
+    """Runs a gateway that is ready to serve and knows `server_count` table servers at one address."""
+    await discovery.start()
+    with socket.socket() as probe, socket.socket(type=socket.SOCK_DGRAM) as peer_probe:
+        probe.bind((HOST, 0)), peer_probe.bind((HOST, 0))
+        port, peer_listen = probe.getsockname()[1], "{}:{}".format(*peer_probe.getsockname())
+    with socket.socket(type=socket.SOCK_DGRAM) as peer, discovery.sock:
         peer.bind(("127.0.0.2", 0))
         peer.settimeout(WAIT_TIMEOUT)
-        entries = [SERVER_ENTRY | {"host": f"s{i}", "dial": dial} for i in range(names)]
+        entries = [SERVER_ENTRY | {"host": f"s{i}", "dial": address} for i in range(server_count)]
         config = raw_config(
             listen=f"{HOST}:{port}",
-            discovery=agent.address,
-            limits={"cores": 1.0, "memory_mb": 192, "sockets": SOCKETS},
-            peer_listen=own,
-            peers=[own, "{}:{}".format(*peer.getsockname())],
+            discovery=discovery.address,
+            limits={"cores": 1.0, "memory_mb": 192, "sockets": MAX_SOCKETS},
+            peer_listen=peer_listen,
+            peers=[peer_listen, "{}:{}".format(*peer.getsockname())],
             known={"seq": 1, "whole": True, "hosts": entries},
         )
         process = start_gateway(path, config)
         try:
-            resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (SOCKETS, SOCKETS))
+            resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (MAX_SOCKETS, MAX_SOCKETS))
             async with asyncio.timeout(2 * WAIT_TIMEOUT):
                 while True:
                     with suppress(ConnectionError):
-                        if await value(port, hiredis.pack_command(("PING",))) == b"PONG":
+                        if await fetch_answer(port, hiredis.pack_command(("PING",))) == b"PONG":
                             break
                     await asyncio.sleep(0.01)
-            yield Crowded(process, port, peer)
+            yield LimitedGateway(process, port, peer)
         finally:
             process.kill()
             process.communicate()
 
 
-@pytest.mark.parametrize("refuses", [True, False], ids=["refused", "silent"])
-@pytest.mark.parametrize("resting", [0, MOST // 2, 2 * MOST])
-def test_a_full_gateway_serves_who_asks_and_reaches_everyone_else(tmp_path, refuses, resting):
-    """Guards calls to discovery, table servers and peers while clients take all that is for them."""
+@pytest.mark.parametrize("refuses_connections", [True, False], ids=["refused", "silent"])
+@pytest.mark.parametrize("idle_count", [0, MAX_CLIENTS // 2, 2 * MAX_CLIENTS])
+def test_full_gateway_serves_clients_and_reaches_servers_peers_and_discovery(
+    tmp_path, refuses_connections, idle_count
+):
+    """Guards connections to discovery, table servers and peers while clients are at their limit."""
 
     async def test() -> None:
-        old, new, agent = await TableServer("old").listen(), await TableServer("new").listen(), Agent(refuses)
+        old, new, discovery = (
+            await TableServer("old").listen(),
+            await TableServer("new").listen(),
+            UnavailableDiscovery(refuses_connections),
+        )
         with ExitStack() as stack:
-            async with crowded(tmp_path / "config.json", agent, old.dial) as gateway:
-                before, port, request = gateway.held(), gateway.port, requests()
-                rest = [await ask(port, next(request)) for _ in range(resting)]
-                assert {answer for _, answer in rest} <= {b"old"}
-                for _ in range(SILENT if resting < MOST else 0):
+            async with limited_gateway(tmp_path / "config.json", discovery, old.address) as gateway:
+                descriptors_before, port, requests = (
+                    gateway.open_descriptors(),
+                    gateway.port,
+                    numbered_requests(),
+                )
+                idle_clients = [await send_request(port, next(requests)) for _ in range(idle_count)]
+                assert {answer for _, answer in idle_clients} <= {b"old"}
+                for _ in range(SILENT_CLIENTS if idle_count < MAX_CLIENTS else 0):
                     sock = stack.enter_context(socket.socket())
                     sock.setblocking(False)
                     sock.connect_ex((HOST, port))
                 async with asyncio.timeout(WAIT_TIMEOUT):
-                    while gateway.held() < before + MOST - 4:  # some of those before were just closing
+                    # some of the descriptors counted before were about to close
+                    while gateway.open_descriptors() < descriptors_before + MAX_CLIENTS - 4:
                         await asyncio.sleep(0)
-                old.hang_up()
-                made = old.made
-                assert await value(port, next(request)) == b"old"
-                assert old.made > made
-                shared = requests(b"c=lookup,t=village,d=3000,spread=2,first=0", 10000)  # the peer has a say
-                asking = [asyncio.create_task(value(port, next(shared))) for _ in range(8)]
+                old.close_connections()
+                made_before = old.connections_made
+                assert await fetch_answer(port, next(requests)) == b"old"
+                assert old.connections_made > made_before
+                # their quota is shared with the peer
+                shared_requests = numbered_requests(b"c=lookup,t=village,d=3000,spread=2,first=0", 10000)
+                tasks = [asyncio.create_task(fetch_answer(port, next(shared_requests))) for _ in range(8)]
                 assert await asyncio.to_thread(gateway.peer.recv, 300)
-                assert await asyncio.gather(*asking) == [b"old"] * 8
-                await agent.come_back(SERVER_ENTRY | {"host": "new", "dial": new.dial})
+                assert await asyncio.gather(*tasks) == [b"old"] * 8
+                await discovery.recover(SERVER_ENTRY | {"host": "new", "dial": new.address})
                 async with asyncio.timeout(WAIT_TIMEOUT):
-                    while await value(port, next(request)) != b"new":
+                    while await fetch_answer(port, next(requests)) != b"new":
                         await asyncio.sleep(0.01)
-                assert gateway.held() <= SOCKETS and gateway.process.poll() is None
-                for client, _ in rest:
+                assert gateway.open_descriptors() <= MAX_SOCKETS and gateway.process.poll() is None
+                for client, _ in idle_clients:
                     client.writer.close()
 
     run_on_uvloop(test())
 
 
-@pytest.mark.parametrize("refuses", [True, False], ids=["refused", "silent"])
-def test_connects_that_never_come_up_leave_discovery_its_descriptors(tmp_path, refuses):
-    """Guards discovery's return while every client waits for a table server, each with a connect out."""
+@pytest.mark.parametrize("refuses_connections", [True, False], ids=["refused", "silent"])
+def test_hanging_connects_leave_descriptors_for_discovery(tmp_path, refuses_connections):
+    """Guards the recovery of discovery while every request waits for a connection to a table server."""
 
     async def test() -> None:
-        new, agent = await TableServer("new").listen(), Agent(refuses)
-        with UnresponsiveListener() as mute:
-            async with crowded(tmp_path / "config.json", agent, mute, names=20) as gateway:
-                request, most, done = requests(b"c=lookup,t=village,d=5000"), 0, asyncio.Event()
-
-                async def go_on() -> None:
-                    while not done.is_set():
+        new, discovery = await TableServer("new").listen(), UnavailableDiscovery(refuses_connections)
+        with UnresponsiveListener() as unresponsive:
+            async with limited_gateway(
+                tmp_path / "config.json", discovery, unresponsive, server_count=20
+            ) as gateway:
+                requests, max_open, served_by_new = (
+                    numbered_requests(b"c=lookup,t=village,d=5000"),
+                    0,
+                    asyncio.Event(),
+                )
+
+                async def repeat_requests() -> None:
+                    while not served_by_new.is_set():
                         with suppress(EOFError, ConnectionError):
-                            client, answer = await ask(gateway.port, next(request))
+                            client, answer = await send_request(gateway.port, next(requests))
                             client.writer.close()
                             if answer == b"new":
-                                done.set()
+                                served_by_new.set()
 
-                asking = [asyncio.create_task(go_on()) for _ in range(2 * MOST)]
+                tasks = [asyncio.create_task(repeat_requests()) for _ in range(2 * MAX_CLIENTS)]
                 async with asyncio.timeout(WAIT_TIMEOUT):
-                    while most < MOST + 20:  # the clients, what was there before, and connects on their way
-                        most = max(most, gateway.held())
+                    # the clients, the gateway's own descriptors and pending connects
+                    while max_open < MAX_CLIENTS + 20:
+                        max_open = max(max_open, gateway.open_descriptors())
                         await asyncio.sleep(0.01)
-                await agent.come_back(SERVER_ENTRY | {"host": "new", "dial": new.dial})
+                await discovery.recover(SERVER_ENTRY | {"host": "new", "dial": new.address})
                 async with asyncio.timeout(2 * WAIT_TIMEOUT):
-                    while not done.is_set():
-                        most = max(most, gateway.held())
+                    while not served_by_new.is_set():
+                        max_open = max(max_open, gateway.open_descriptors())
                         await asyncio.sleep(0.01)
-                    await asyncio.gather(*asking)
-                assert most <= SOCKETS and gateway.process.poll() is None
+                    await asyncio.gather(*tasks)
+                assert max_open <= MAX_SOCKETS and gateway.process.poll() is None
 
     run_on_uvloop(test())
 
 
-async def resting_kit(request: Iterator[bytes]) -> tuple[GatewayHarness, list[RespConnection]]:
-    """A gateway whose clients have all asked once and rest, with the clients' clock standing still."""
-    kit, server = GatewayHarness(), await TableServer("s1").listen()
-    now = kit.driver.clients.clock()
-    kit.driver.clients.clock = lambda: now
-    kit.driver.clients.max_connections = MOST
-    kit.driver.on_list(host_list(s1=server.dial))
-    rest = [await kit.connect_client() for _ in range(MOST)]
-    for client in rest:
-        client.write(next(request))
+async def harness_with_idle_clients(requests: Iterator[bytes]) -> tuple[GatewayHarness, list[RespConnection]]:
+    """Returns a gateway at its client limit and its clients, idle after one request; its clock is frozen."""
+    harness, server = GatewayHarness(), await TableServer("s1").listen()
+    now = harness.driver.clients.clock()
+    harness.driver.clients.clock = lambda: now
+    harness.driver.clients.max_connections = MAX_CLIENTS
+    harness.driver.on_list(host_list(s1=server.address))
+    idle_clients = [await harness.connect_client() for _ in range(MAX_CLIENTS)]
+    for client in idle_clients:
+        client.write(next(requests))
         assert await client.read() == b"s1"
-    return kit, rest
+    return harness, idle_clients
 
 
-def test_who_asks_is_let_in_at_once_where_all_others_have_just_asked():
-    """Guards a new client's request, which our machine has accepted: it would wait there past its time."""
+def test_new_client_replaces_longest_idle_client():
+    """Guards a new client's request, which could wait in the backlog past its deadline."""
 
     async def test() -> None:
-        request = requests()
-        kit, rest = await resting_kit(request)
-        client = await kit.connect_client()
-        client.write(next(request))
+        requests = numbered_requests()
+        harness, idle_clients = await harness_with_idle_clients(requests)
+        client = await harness.connect_client()
+        client.write(next(requests))
         assert await client.read() == b"s1"
-        assert await rest[0].wait_closed()  # it had rested for longest
-        rest[1].write(next(request))
-        assert await rest[1].read() == b"s1"
+        assert await idle_clients[0].wait_closed()  # idle for longest
+        idle_clients[1].write(next(requests))
+        assert await idle_clients[1].read() == b"s1"
 
     run_on_uvloop(test())
 
 
-def test_clients_that_come_at_once_to_a_full_gateway_do_not_push_each_other_out():
-    """Guards requests that are on their way: those who rest make way, not those just taken in."""
+def test_burst_of_new_clients_does_not_evict_its_own():
+    """Guards first requests in transit: idle clients are evicted, not connections just accepted."""
 
     async def test() -> None:
-        request = requests()
-        kit, _ = await resting_kit(request)
-        now = kit.driver.clients.clock() + 3.0
-        kit.driver.clients.clock = lambda: now
-        burst = await asyncio.gather(*(kit.connect_client() for _ in range(MOST // 2)))
+        requests = numbered_requests()
+        harness, _ = await harness_with_idle_clients(requests)
+        now = harness.driver.clients.clock() + 3.0
+        harness.driver.clients.clock = lambda: now
+        burst = await asyncio.gather(*(harness.connect_client() for _ in range(MAX_CLIENTS // 2)))
         async with asyncio.timeout(WAIT_TIMEOUT):
-            # all are in before the first one asks
-            while len(kit.driver.clients.awaiting_first_request) < len(burst):
+            # all are accepted before the first request
+            while len(harness.driver.clients.awaiting_first_request) < len(burst):
                 await asyncio.sleep(0)
         for client in burst:
-            client.write(next(request))
+            client.write(next(requests))
         assert [await client.read() for client in burst] == [b"s1"] * len(burst)
 
     run_on_uvloop(test())
 
 
-def test_the_silent_make_way_before_those_who_rest_once_they_had_their_time():
-    """Guards usual clients between requests against a crowd that says nothing."""
+def test_silent_client_is_evicted_before_idle_ones_after_grace():
+    """Guards regular clients between requests against silent connections."""
 
     async def test() -> None:
-        request = requests()
-        kit, rest = await resting_kit(request)
-        silent = await kit.connect_client()
+        requests = numbered_requests()
+        harness, idle_clients = await harness_with_idle_clients(requests)
+        silent = await harness.connect_client()
         async with asyncio.timeout(WAIT_TIMEOUT):
-            while not kit.driver.clients.awaiting_first_request:
+            while not harness.driver.clients.awaiting_first_request:
                 await asyncio.sleep(0)
-        now = kit.driver.clients.clock() + 2 * clients.FIRST_REQUEST_GRACE
-        kit.driver.clients.clock = lambda: now
-        client = await kit.connect_client()
-        client.write(next(request))
+        now = harness.driver.clients.clock() + 2 * clients.FIRST_REQUEST_GRACE
+        harness.driver.clients.clock = lambda: now
+        client = await harness.connect_client()
+        client.write(next(requests))
         assert await client.read() == b"s1" and await silent.wait_closed()
-        rest[1].write(next(request))
-        assert await rest[1].read() == b"s1"
+        idle_clients[1].write(next(requests))
+        assert await idle_clients[1].read() == b"s1"
 
     run_on_uvloop(test())
 
 
-def test_the_last_connection_that_there_is_room_for_closes_no_other():
-    """Guards against closing a client that may just be asking, where nobody waits for its place."""
+def test_connection_that_reaches_the_limit_evicts_no_other():
+    """Guards against evicting a client while no connection waits for its descriptor."""
 
     async def test() -> None:
-        kit = GatewayHarness()
-        kit.driver.clients.max_connections = 3
-        held = [await kit.connect_client() for _ in range(3)]
-        for client in held:
+        harness = GatewayHarness()
+        harness.driver.clients.max_connections = 3
+        open_clients = [await harness.connect_client() for _ in range(3)]
+        for client in open_clients:
             client.write(hiredis.pack_command(("PING",)))
-        assert [str(await client.read()) for client in held] == ["ERR starting"] * 3
+        assert [str(await client.read()) for client in open_clients] == ["ERR starting"] * 3
 
     run_on_uvloop(test())
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,4 +1,4 @@
-"""What ends an attempt, a connection, a client's wait: the crossing is forced, not hoped for."""
+"""Races at the end of an attempt, a connection or a request, each with a forced interleaving."""
 
 from __future__ import annotations
 
@@ -23,26 +23,28 @@
 from thymehinge.net.server_connection import Attempt
 
 
-def test_a_second_answer_read_after_a_stall_is_not_the_next_requests():
-    """Guards against a mixed-up answer: this process stands still while the second copy comes."""
+def test_duplicate_answer_after_stall_is_not_used_for_next_request():
+    """Guards against mixed-up answers: the duplicate arrives while the process is stalled."""
 
     async def test() -> None:
-        kit, came = await harness_with_server()
-        client, server = await request_in_flight(kit, came)
+        harness, connections = await harness_with_server()
+        client, server = await request_in_flight(harness, connections)
         server.write(success_reply(b"first"))
         assert await client.read() == b"first"
-        pool = kit.driver.servers.pools["s1"]
+        pool = harness.driver.servers.pools["s1"]
         (connection,) = pool.idle
         os.write(server.writer.get_extra_info("socket").fileno(), success_reply(b"first"))
-        time.sleep(0.1)  # nothing is read in this time, and all timers are due by its end
-        attempt = Attempt(Order(), 0, "s1", kit.driver.clock(), kit.driver.clock() + WAIT_TIMEOUT)
+        time.sleep(0.1)  # nothing is read meanwhile, and all timers are due afterwards
+        attempt = Attempt(
+            StubExchange(), 0, "s1", harness.driver.clock(), harness.driver.clock() + WAIT_TIMEOUT
+        )
         outcomes = []
-        kit.driver.servers.report = lambda a, result, report, value: outcomes.append(value)
+        harness.driver.servers.report = lambda a, result, report, value: outcomes.append(value)
         pool.start(attempt)
         assert attempt.connection is not connection
-        other = await next_item(came)
-        await other.read()
-        other.write(success_reply(b"second"))
+        new_server = await next_item(connections)
+        await new_server.read()
+        new_server.write(success_reply(b"second"))
         async with asyncio.timeout(WAIT_TIMEOUT):
             while not outcomes:
                 await asyncio.sleep(0)
@@ -51,56 +53,59 @@
     run_on_uvloop(test())
 
 
-class Order:
-    """A request as far as an attempt needs one."""
+class StubExchange:
+    """A request with only the methods that an attempt calls."""
 
     def is_over(self) -> bool:
         return False
 
-    def encode_command(self, wait_ms: int) -> bytes:
-        return pack_request(fields=b"c=lookup,t=village,d=%d" % wait_ms)
+    def encode_command(self, timeout_ms: int) -> bytes:
+        return pack_request(fields=b"c=lookup,t=village,d=%d" % timeout_ms)
 
 
-def test_a_client_that_leaves_while_its_request_waits_for_a_connection_is_not_sent_on():
-    """Guards the term on clients that have left: the connection comes up later, and carries nothing."""
+def test_request_waiting_for_connection_is_not_sent_after_client_close():
+    """Guards against sending for a client that has closed: the server connection opens only afterwards."""
 
     async def test() -> None:
-        kit = GatewayHarness()
-        dial, came = await kit.start_server()
-        gate = kit.hold_connects()
-        kit.driver.on_list(host_list(s1=dial))
-        client = await kit.connect_client()
+        harness = GatewayHarness()
+        address, connections = await harness.start_server()
+        connect_gate = harness.hold_connects()
+        harness.driver.on_list(host_list(s1=address))
+        client = await harness.connect_client()
         client.write(pack_request())
-        await kit.wait_for_event(api.Request)
+        await harness.wait_for_event(api.Request)
         client.writer.close()
-        await kit.wait_for_event(api.ClientGone)
-        gate.set()
-        server = await next_item(came)
-        await kit.wait_reusable("s1")
-        kit.driver.servers.pools["s1"].close()
-        assert await server.wait_closed()  # with nothing written before
-        assert not kit.driver.exchanges and not kit.driver.gateway.jobs
+        await harness.wait_for_event(api.ClientGone)
+        connect_gate.set()
+        server = await next_item(connections)
+        await harness.wait_reusable("s1")
+        harness.driver.servers.pools["s1"].close()
+        assert await server.wait_closed()  # without having received data
+        assert not harness.driver.exchanges and not harness.driver.gateway.jobs
 
     run_on_uvloop(test())
 
 
-def test_a_time_out_with_the_request_half_written_proves_that_nothing_ran():
-    """Guards the requests that may not be repeated: a server begins a command once its last byte has come."""
+def test_timeout_of_half_written_request_counts_as_not_executed():
+    """Guards unsafe requests: a server executes a command only once its last byte has arrived."""
 
     async def test() -> None:
-        kit, came = await harness_with_server()
+        harness, connections = await harness_with_server()
         outcomes = []
-        kit.driver.servers.report = lambda a, result, report, value: outcomes.append(result)
-        huge = Order()
-        huge.encode_command = lambda wait_ms: b"x" * 2**24  # more than the kernel takes without a reader
-        attempt = Attempt(huge, 0, "s1", kit.driver.clock(), kit.driver.clock() + WAIT_TIMEOUT)
-        kit.driver.servers.start(attempt)
-        await next_item(came)
+        harness.driver.servers.report = lambda a, result, report, value: outcomes.append(result)
+        large_exchange = StubExchange()
+        # more than the kernel buffers without a reader
+        large_exchange.encode_command = lambda timeout_ms: b"x" * 2**24
+        attempt = Attempt(
+            large_exchange, 0, "s1", harness.driver.clock(), harness.driver.clock() + WAIT_TIMEOUT
+        )
+        harness.driver.servers.start(attempt)
+        await next_item(connections)
         async with asyncio.timeout(WAIT_TIMEOUT):
             while attempt.connection is None:
                 await asyncio.sleep(0)
         assert attempt.connection.unwritten
-        kit.driver.servers.give_up(attempt, Result.TIMEOUT)
+        harness.driver.servers.give_up(attempt, Result.TIMEOUT)
         assert outcomes == [Result.CONNECT_FAILED]
 
     run_on_uvloop(test())
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -1,4 +1,4 @@
-"""A client that closes has gone: nothing is sent on for it any more, also where the close is read late."""
+"""Clients that close their connection: nothing is sent for them, even if the close is read late."""
 
 from __future__ import annotations
 
@@ -24,123 +24,131 @@
 from thymehinge.net import client_connection
 from thymehinge.net.client_connection import Phase
 
-OTHER = REQUEST_ID[::-1]
+OTHER_REQUEST_ID = REQUEST_ID[::-1]
 
 
-async def nothing_goes_out(kit: GatewayHarness, server) -> None:
-    """What was in hand is over, and the connection to the server ends with nothing written on it."""
-    await kit.wait_reusable("s1")
-    assert not kit.driver.exchanges and not kit.driver.gateway.jobs and not kit.driver.clients.pending_ids
-    kit.driver.servers.pools["s1"].close()
+async def assert_nothing_sent(harness: GatewayHarness, server) -> None:
+    """Asserts that no request is left, and that the server's connection closes without any data."""
+    await harness.wait_reusable("s1")
+    assert (
+        not harness.driver.exchanges
+        and not harness.driver.gateway.jobs
+        and not harness.driver.clients.pending_ids
+    )
+    harness.driver.servers.pools["s1"].close()
     assert await server.wait_closed()
 
 
-def pause_full(kit: GatewayHarness) -> bytes:
-    return pack_request().replace(REQUEST_ID, OTHER)
+def fill_pipeline(harness: GatewayHarness) -> bytes:
+    """Returns another request, which reaches the limit on pending commands."""
+    return pack_request().replace(REQUEST_ID, OTHER_REQUEST_ID)
 
 
-def pause_bad(kit: GatewayHarness) -> bytes:
+def exceed_invalid_commands(harness: GatewayHarness) -> bytes:
+    """Returns as many invalid commands as end a connection."""
     return hiredis.pack_command(("NONSENSE",)) * client_connection.MAX_INVALID_COMMANDS
 
 
-def pause_slow(kit: GatewayHarness) -> bytes:
-    (connection,) = [c for c in kit.driver.clients.connections if c.pending]
+def mark_slow_reader(harness: GatewayHarness) -> bytes:
+    """Pauses reading as for a client that does not read its replies; returns no data."""
+    (connection,) = [c for c in harness.driver.clients.connections if c.pending]
     connection.pause_writing()
     return b""
 
 
-@pytest.mark.parametrize("pause", [pause_full, pause_bad, pause_slow])
-def test_a_close_is_noticed_while_reading_is_paused(pause, monkeypatch):
-    """Guards the term on clients that have left: the request waits for a connection."""
-    if pause is pause_full:
+@pytest.mark.parametrize("pause_reading", [fill_pipeline, exceed_invalid_commands, mark_slow_reader])
+def test_client_close_is_detected_while_reading_is_paused(pause_reading, monkeypatch):
+    """Guards against sending for a client that has closed while its request waits for a connection."""
+    if pause_reading is fill_pipeline:
         monkeypatch.setattr(client_connection, "MAX_PIPELINED_COMMANDS", 2)
 
     async def test() -> None:
-        kit = GatewayHarness()
-        dial, came = await kit.start_server()
-        gate = kit.hold_connects()
-        kit.driver.on_list(host_list(s1=dial))
-        client = await kit.connect_raw_client(pack_request())
-        await kit.wait_for_event(api.Request)
-        client.sendall(pause(kit))
-        (connection,) = [c for c in kit.driver.clients.connections if c.pending]
+        harness = GatewayHarness()
+        address, connections = await harness.start_server()
+        connect_gate = harness.hold_connects()
+        harness.driver.on_list(host_list(s1=address))
+        client = await harness.connect_raw_client(pack_request())
+        await harness.wait_for_event(api.Request)
+        client.sendall(pause_reading(harness))
+        (connection,) = [c for c in harness.driver.clients.connections if c.pending]
         async with asyncio.timeout(WAIT_TIMEOUT):
             while not (
                 connection.pipeline_full or connection.phase is not Phase.OPEN or connection.slow_reader
             ):
                 await asyncio.sleep(0)
         client.close()
-        gate.set()
-        await nothing_goes_out(kit, await next_item(came))
+        connect_gate.set()
+        await assert_nothing_sent(harness, await next_item(connections))
 
     run_on_uvloop(test())
 
 
 @pytest.mark.parametrize(
-    "bad", [b"", hiredis.pack_command(("NONSENSE",)) * client_connection.MAX_INVALID_COMMANDS]
+    "following", [b"", hiredis.pack_command(("NONSENSE",)) * client_connection.MAX_INVALID_COMMANDS]
 )
-def test_no_further_attempt_begins_for_a_client_that_has_closed(bad):
-    """Guards it for what failed: the server's refusal and the close come in the same turn of the loop."""
+def test_no_retry_starts_after_client_close(following):
+    """Guards against a retry if the server's rejection and the close arrive in the same loop turn."""
 
     async def test() -> None:
-        kit, came = await harness_with_server()
-        client = await kit.connect_raw_client(pack_request() + bad)
-        server = await next_item(came)
+        harness, connections = await harness_with_server()
+        client = await harness.connect_raw_client(pack_request() + following)
+        server = await next_item(connections)
         await server.read()
-        (exchange,) = kit.driver.exchanges.values()
+        (exchange,) = harness.driver.exchanges.values()
         client.close()
         (attempt,) = exchange.attempts
-        kit.driver.servers.give_up(attempt, api.Result.REJECTED)  # as if its answer had been read first
+        # as if the rejection had been read before the close
+        harness.driver.servers.give_up(attempt, api.Result.REJECTED)
         assert not any(a.connection or a.out for a in exchange.attempts)
-        assert not kit.driver.exchanges and not kit.driver.gateway.jobs
-        assert await server.wait_closed() and came.empty()
+        assert not harness.driver.exchanges and not harness.driver.gateway.jobs
+        assert await server.wait_closed() and connections.empty()
 
     run_on_uvloop(test())
 
 
-def test_a_request_read_only_after_its_client_closed_is_not_sent_on():
-    """Guards it after a stall: the command and the close stand in the socket together."""
+def test_request_read_after_client_close_is_not_sent():
+    """Guards against sending after a stall: the command and the close are read from the socket together."""
 
     async def test() -> None:
-        kit, came = await harness_with_server()
-        pool = kit.driver.servers.pools["s1"]
-        kit.driver.servers.spawn(pool.connect())
-        pool.connecting, kit.driver.servers.connecting = 1, 1
-        server = await next_item(came)
-        await kit.wait_reusable("s1")
-        (await kit.connect_raw_client(pack_request())).close()
-        await kit.wait_for_event(api.ClientGone)
-        await nothing_goes_out(kit, server)
+        harness, connections = await harness_with_server()
+        pool = harness.driver.servers.pools["s1"]
+        harness.driver.servers.spawn(pool.connect())
+        pool.connecting, harness.driver.servers.connecting = 1, 1
+        server = await next_item(connections)
+        await harness.wait_reusable("s1")
+        (await harness.connect_raw_client(pack_request())).close()
+        await harness.wait_for_event(api.ClientGone)
+        await assert_nothing_sent(harness, server)
 
     run_on_uvloop(test())
 
 
-def test_a_grant_that_crosses_the_close_sends_nothing():
-    """Guards it for a request that waits for its customer's home: the grant is read first."""
+def test_grant_read_before_client_close_sends_nothing():
+    """Guards against sending for a request that waits for a quota grant, which is read before the close."""
 
     async def test() -> None:
         settings = raw_settings()
         settings["balancers"], settings["bounds"]["peers"] = 2, True
         settings["family_info"] = {**settings["family_info"], "peer_in_per_s": 100.0}
-        kit = GatewayHarness(settings=settings, peer_listen=f"{HOST}:1")
-        dial, _ = await kit.start_server()
-        kit.driver.on_list(host_list(s1=dial))
-        gateway, client = kit.driver.gateway, None
-        for key in range(100):  # a customer whose home is the other gateway
+        harness = GatewayHarness(settings=settings, peer_listen=f"{HOST}:1")
+        address, _ = await harness.start_server()
+        harness.driver.on_list(host_list(s1=address))
+        gateway, client = harness.driver.gateway, None
+        for customer_id in range(100):  # until one is owned by the other gateway
             data = pack_request(fields=b"c=lookup,t=village,d=3000,spread=2,first=0").replace(
-                b"00000000b4d65521", b"%016x" % key
+                b"00000000b4d65521", b"%016x" % customer_id
             )
-            client = await kit.connect_raw_client(data)
-            await kit.wait_for_event(api.Request)
+            client = await harness.connect_raw_client(data)
+            await harness.wait_for_event(api.Request)
             job = next(iter(gateway.jobs.values()), None)
             if job is not None and job.owner == 1:
                 break
             client.close()
-            await kit.wait_for_event(api.ClientGone)
+            await harness.wait_for_event(api.ClientGone)
         client.close()
-        entry = QuotaCodec.pack_entry(QuotaCodec.GRANT, job.tag, key, 0, job.units, 0.0, 1.0)
-        kit.driver.on_peer(1, QuotaCodec.encode(4.0, [entry]))
-        assert not kit.driver.exchanges and not gateway.jobs
-        assert not any(p.waiting or p.connecting for p in kit.driver.servers.pools.values())
+        entry = QuotaCodec.pack_entry(QuotaCodec.GRANT, job.tag, customer_id, 0, job.units, 0.0, 1.0)
+        harness.driver.on_peer(1, QuotaCodec.encode(4.0, [entry]))
+        assert not harness.driver.exchanges and not gateway.jobs
+        assert not any(p.waiting or p.connecting for p in harness.driver.servers.pools.values())
 
     run_on_uvloop(test())
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -19,7 +19,7 @@
     success_reply,
 )
 from rules import CheckedGateway, make_settings
-from test_endings import Order
+from test_endings import StubExchange
 
 from thymehinge import interface as api
 from thymehinge.interface import DedupScope, Idempotency, Result
@@ -173,7 +173,7 @@
         harness.driver.on_list(host_list(s1=address))
         outcomes: asyncio.Queue[Result] = asyncio.Queue()
         harness.driver.servers.report = lambda a, result, report, value: outcomes.put_nowait(result)
-        large_request = Order()
+        large_request = StubExchange()
         large_request.encode_command = lambda wait_ms: b"x" * 2**24  # more than the socket buffers hold
         attempt = Attempt(large_request, 0, "s1", harness.driver.clock(), harness.driver.clock() + 60.0)
         harness.driver.servers.start(attempt)
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -33,7 +33,7 @@
 async def table_server(name: str) -> tuple[TableServer, dict]:
     """A server that answers with its name, and its entry, started long ago."""
     server = await TableServer(name, DELAY).listen()
-    return server, SERVER_ENTRY | {"host": name, "dial": server.dial, "born_ms": 0}
+    return server, SERVER_ENTRY | {"host": name, "dial": server.address, "born_ms": 0}
 
 
 async def shares(port: int, seconds: float) -> Counter[bytes]:
