--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""What is heard from discovery: lists, watches, and each way in which a call can fail."""
+"""Discovery client: snapshots, watches, and each way in which a call can fail."""
 
 from __future__ import annotations
 
@@ -22,28 +22,28 @@
 from thymehinge.net.discovery import Discovery, Follower, HostList, follow
 
 
-def heard(answers: list, count: int, size_most: int = 2**24) -> tuple[list[HostList], list[str]]:
-    """What is told from these answers, up to a number of lists, and the calls made for it."""
+def collect_lists(answers: list, count: int, max_body_bytes: int = 2**24) -> tuple[list[HostList], list[str]]:
+    """Returns the first `count` lists delivered from these answers, and the paths of the calls made."""
     lists: list[HostList] = []
-    seen: list[str] = []
+    paths: list[str] = []
 
     async def test() -> None:
         address, calls = await scripted_discovery(answers)
-        told: asyncio.Queue[HostList] = asyncio.Queue()
-        task = asyncio.create_task(follow(address, told.put_nowait, size_most))
-        lists.extend([await next_item(told) for _ in range(count)])
+        received: asyncio.Queue[HostList] = asyncio.Queue()
+        task = asyncio.create_task(follow(address, received.put_nowait, max_body_bytes))
+        lists.extend([await next_item(received) for _ in range(count)])
         task.cancel()
         with suppress(asyncio.CancelledError):
             await task
-        seen.extend(calls)
+        paths.extend(calls)
 
     run_on_uvloop(test())
-    return lists, seen
+    return lists, paths
 
 
-def test_discovery_gives_the_list_and_then_its_changes():
+def test_snapshot_followed_by_delta():
     gone = {"host": "s1", "health": "Gone"}
-    lists, calls = heard(
+    lists, calls = collect_lists(
         [hosts_response(41, SERVER_ENTRY | {"born_ms": 5000}), hosts_response(43, gone, snapshot=False)], 2
     )
     assert lists[0].whole and lists[0].servers[0].started_at == 5.0 and lists[0].dials == {"s1": (HOST, 1)}
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "invalid",
     [
         None,
         web.Response(text="{not json"),
@@ -61,16 +61,18 @@
         web.Response(text="[" * 100_000),
     ],
 )
-def test_discovery_comes_back_with_the_whole_list_after_a_bad_answer(bad):
-    """Guards against a gateway that stays on an old list for good."""
-    lists, calls = heard([hosts_response(41, SERVER_ENTRY), bad, hosts_response(44, SERVER_ENTRY)], 2)
-    assert [each.version for each in lists] == [41, 44]
-    # a watch whose connection broke may be asked once more as it was
-    assert calls[2] == "/discovery/hosts" or bad is None
+def test_failed_call_followed_by_snapshot(invalid):
+    """Guards against a gateway that keeps an old list after a failed call."""
+    lists, calls = collect_lists(
+        [hosts_response(41, SERVER_ENTRY), invalid, hosts_response(44, SERVER_ENTRY)], 2
+    )
+    assert [host_list.version for host_list in lists] == [41, 44]
+    # a watch whose connection was reset may be repeated first
+    assert calls[2] == "/discovery/hosts" or invalid is None
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "invalid",
     [
         SERVER_ENTRY | {"health": "Odd"},
         {k: v for k, v in SERVER_ENTRY.items() if k != "dial"},
@@ -79,178 +81,184 @@
         "no object",
     ],
 )
-def test_a_bad_entry_discards_no_other_and_has_the_whole_list_asked_for(bad):
-    """Guards against staying on an old list over one entry, and against missing what that one told."""
+def test_invalid_entry_keeps_others_and_requests_snapshot(invalid):
+    """Guards against dropping a whole list for one invalid entry, and against losing that entry's change."""
     good = SERVER_ENTRY | {"host": "s2"}
-    lists, calls = heard([hosts_response(41, bad, good), hosts_response(44, SERVER_ENTRY, good)], 2)
-    assert [[s.name for s in each.servers] for each in lists] == [["s2"], ["s1", "s2"]]
+    lists, calls = collect_lists(
+        [hosts_response(41, invalid, good), hosts_response(44, SERVER_ENTRY, good)], 2
+    )
+    assert [[server.name for server in host_list.servers] for host_list in lists] == [["s2"], ["s1", "s2"]]
     assert calls[:2] == ["/discovery/hosts"] * 2
 
 
-def test_a_watch_that_has_fallen_silent_is_opened_anew_with_the_whole_list(monkeypatch):
-    """Guards the rule on drains: what a silent watch misses counts as told some seconds later."""
+def test_silent_watch_followed_by_snapshot(monkeypatch):
+    """Guards against missing a drain that a silent watch does not deliver."""
     monkeypatch.setattr(call_schedule, "WATCH", 0.1)
     monkeypatch.setattr(call_schedule, "WATCH_LEAST", 0.1)
     monkeypatch.setattr(call_schedule, "ANSWER", 0.2)
     draining = hosts_response(9, SERVER_ENTRY | {"health": "Terminating"})
-    lists, calls = heard([hosts_response(1, SERVER_ENTRY), NO_ANSWER, NO_ANSWER, draining], 2)
-    assert [s.state for s in lists[1].servers] == [api.LifecycleState.DRAINING]
+    lists, calls = collect_lists([hosts_response(1, SERVER_ENTRY), NO_ANSWER, NO_ANSWER, draining], 2)
+    assert [server.state for server in lists[1].servers] == [api.LifecycleState.DRAINING]
     assert calls[:4] == [calls[0], f"{calls[0]}?since=1&timeout_ms=100", calls[0], calls[0]]
 
 
-def pauses(schedule: CallSchedule, *ends: str, took: float = 0.0) -> list[float]:
-    """How long after the end of each call that failed the next one is due.
+def retry_delays(schedule: CallSchedule, *outcomes: str, duration: float = 0.0) -> list[float]:
+    """Returns the seconds from the end of each failed call until the next call is due.
 
-    A call's end is "away", "unusable", "whole" or "watch"; the first two fail, so long after they began.
+    A call fails as "away" (unreachable) or "unusable" (invalid response), `duration` seconds after its
+    start, or succeeds at once as "whole" (snapshot) or "watch".
     """
-    found, now = [], schedule.next_at
-    for end in ends:
-        schedule.begin(now, watch=end == "watch")
-        if end in ("whole", "watch"):
-            schedule.answered(now, 0.0, end == "watch")
+    delays, now = [], schedule.next_at
+    for outcome in outcomes:
+        schedule.begin(now, watch=outcome == "watch")
+        if outcome in ("whole", "watch"):
+            schedule.answered(now, 0.0, outcome == "watch")
         else:
-            schedule.failed(now + took, now, away=end == "away")
-            found.append(schedule.next_at - now - took)
+            schedule.failed(now + duration, now, away=outcome == "away")
+            delays.append(schedule.next_at - now - duration)
         now = schedule.next_at
-    return found
+    return delays
 
 
 @pytest.mark.parametrize("away", [True, False])
-def test_discovery_that_is_away_is_called_on_and_one_that_is_overbooked_less_and_less(away):
-    """Guards the rule on drains: what discovery has at its return counts as told from that moment on."""
-    end = "away" if away else "unusable"
-    failed = pauses(CallSchedule(0.0), *[end] * 6)
-    assert failed == pytest.approx([0.1] * 6 if away else [0.1, 0.2, 0.4, 0.8, 1.0, 1.0])
+def test_retry_delay_grows_only_while_discovery_is_reachable(away):
+    """Guards against late calls after an outage, and against overloading a discovery that rejects calls."""
+    outcome = "away" if away else "unusable"
+    delays = retry_delays(CallSchedule(0.0), *[outcome] * 6)
+    assert delays == pytest.approx([0.1] * 6 if away else [0.1, 0.2, 0.4, 0.8, 1.0, 1.0])
 
 
-def test_after_many_failures_of_either_kind_the_whole_list_is_told(monkeypatch):
+def test_snapshot_delivered_after_mixed_failures(monkeypatch):
     monkeypatch.setattr(call_schedule, "PAUSE_MOST", 0.1)
-    lists, calls = heard(
+    lists, calls = collect_lists(
         [None, web.Response(status=503), None, web.Response(status=503), hosts_response(1, SERVER_ENTRY)], 1
     )
     assert lists[0].version == 1 and set(calls) == {"/discovery/hosts"}
 
 
-def test_watches_that_are_turned_away_are_opened_less_and_less():
-    """Guards an overbooked discovery, which may still give the whole list: 200 gateways would ask on."""
+def test_retry_delay_grows_while_watches_are_rejected():
+    """Guards against overloading a discovery that answers snapshots but rejects watches."""
     schedule = CallSchedule(0.0)
-    turned_away = ["whole", "unusable"] * 5
-    assert pauses(schedule, *turned_away) == pytest.approx([0.1, 0.2, 0.4, 0.8, 1.0])
-    # a watch that was answered proves that it can again
-    assert pauses(schedule, "whole", "watch", "unusable") == pytest.approx([0.1])
+    rejected_watches = ["whole", "unusable"] * 5
+    assert retry_delays(schedule, *rejected_watches) == pytest.approx([0.1, 0.2, 0.4, 0.8, 1.0])
+    # an answered watch resets the delay
+    assert retry_delays(schedule, "whole", "watch", "unusable") == pytest.approx([0.1])
 
 
-def test_the_pause_counts_from_the_start_of_the_call_that_failed():
-    """Guards the 6 s: a call that fails late has itself been pause enough, but for what the agent is due."""
-    failed = pauses(CallSchedule(0.0), *["unusable"] * 6, took=0.25)
-    assert failed == pytest.approx([0.1, 0.1, 0.15, 0.55, 0.75, 0.75])
+def test_retry_delay_counts_from_start_of_failed_call():
+    """Guards the propagation time: the duration of a failed call counts towards the delay after it."""
+    delays = retry_delays(CallSchedule(0.0), *["unusable"] * 6, duration=0.25)
+    assert delays == pytest.approx([0.1, 0.1, 0.15, 0.55, 0.75, 0.75])
 
 
-def test_the_worst_order_of_failures_tells_a_change_in_time():
-    """Guards the 6 s: after a watch that falls silent two calls fail in the worst way, one is slow.
+def test_worst_case_failures_meet_propagation_time():
+    """Guards the propagation time when a watch falls silent and the calls after it fail in the worst order.
 
-    From each state of the pause. A call fails at once or late, as away or with what can't be used, or has no
-    answer at all; the change comes just after the list that the watch begins with.
+    Each call fails at once or late, as unreachable or with an invalid response, or gets no answer, from each
+    state of the retry delay. The change comes just after the list from which the watch starts.
     """
-    d = call_schedule
+    timing = call_schedule
 
-    def longest(schedule: CallSchedule, failures: int) -> float:
-        """The time of the good answer, where so many calls fail before it; the next call is due."""
+    def latest_answer(schedule: CallSchedule, failures: int) -> float:
+        """Returns the latest time of a valid answer after `failures` + 1 failed calls, the first due now."""
         now = schedule.next_at
         if failures < 0:
-            return now + d.ANSWER
-        found = []
-        for took in (0.0, d.PAUSE, d.ANSWER, None):
+            return now + timing.ANSWER
+        answer_times = []
+        for duration in (0.0, timing.PAUSE, timing.ANSWER, None):
             for away, others in product((True, False), repeat=2):
-                after = copy.copy(schedule)
-                after.begin(now, watch=False)
-                if took is None:
-                    after.overdue()
+                branch = copy.copy(schedule)
+                branch.begin(now, watch=False)
+                if duration is None:
+                    branch.overdue()
                 else:
-                    after.failed(now + took, now, away, others)
-                    after.next_at = max(after.next_at, now + took)
-                found.append(longest(after, failures - 1))
-        return max(found)
+                    branch.failed(now + duration, now, away, others)
+                    branch.next_at = max(branch.next_at, now + duration)
+                answer_times.append(latest_answer(branch, failures - 1))
+        return max(answer_times)
 
     worst = 0.0
-    for pause in (d.PAUSE, 0.2, 0.4, 0.8, d.PAUSE_MOST):
+    for retry_delay in (timing.PAUSE, 0.2, 0.4, 0.8, timing.PAUSE_MOST):
         schedule = CallSchedule(0.0)
-        schedule.pause = pause
+        schedule.pause = retry_delay
         schedule.answered(0.0, 0.0, watch=False)
         schedule.begin(schedule.next_at, watch=True)
         schedule.overdue()
-        worst = max(worst, longest(schedule, d.FAILURES - 1))
-    assert worst <= d.TOLD - d.MARGIN
-    assert d.FAILURES >= 2 and d.MARGIN >= 0.4 and d.PAUSE + d.ANSWER <= d.PAUSE_MOST
+        worst = max(worst, latest_answer(schedule, timing.FAILURES - 1))
+    assert worst <= timing.TOLD - timing.MARGIN
+    assert timing.FAILURES >= 2 and timing.MARGIN >= 0.4 and timing.PAUSE + timing.ANSWER <= timing.PAUSE_MOST
 
 
-Trouble = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
-HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
+ConnectionHandler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
 
 
-async def say(writer: asyncio.StreamWriter, data: bytes) -> None:
+async def send(writer: asyncio.StreamWriter, data: bytes) -> None:
     writer.write(data)
     await writer.drain()
 
 
-async def is_silent(reader, writer) -> None:
-    """No answer at all."""
+async def never_respond(reader, writer) -> None:
+    """Sends no response."""
     await asyncio.sleep(60)
 
 
-async def trickles(reader, writer) -> None:
-    """An answer that comes on and on, a few bytes at a time."""
-    await say(writer, HEAD + b"\r\n")
+async def trickle_body(reader, writer) -> None:
+    """Sends an endless body a byte at a time."""
+    await send(writer, RESPONSE_HEAD + b"\r\n")
     while True:
-        await say(writer, b" ")
+        await send(writer, b" ")
         await asyncio.sleep(0.005)
 
 
-async def floods(reader, writer) -> None:
-    """An answer that never ends, at full speed."""
-    await say(writer, HEAD + b"\r\n" + b'{"seq":2,"whole":true,"hosts":[')
+async def send_endless_body(reader, writer) -> None:
+    """Sends an endless body at full speed."""
+    await send(writer, RESPONSE_HEAD + b"\r\n" + b'{"seq":2,"whole":true,"hosts":[')
     while True:
-        await say(writer, b" " * 65536)
+        await send(writer, b" " * 65536)
 
 
-async def stops_in_the_head(reader, writer) -> None:
-    """Half a head, then nothing."""
-    await say(writer, HEAD)
+async def stall_in_head(reader, writer) -> None:
+    """Sends an incomplete head, then nothing."""
+    await send(writer, RESPONSE_HEAD)
     await asyncio.sleep(60)
 
 
-async def is_reset(reader, writer) -> None:
-    """A reset before any answer, which the library may take as a reason to ask once more."""
+async def reset_before_response(reader, writer) -> None:
+    """Resets the connection before any response, after which the client may repeat the call."""
     writer.transport.abort()
 
 
-async def is_cut(reader, writer) -> None:
-    """No length, and reset after a part: a reset is no end."""
-    await say(writer, HEAD + b"\r\n" + b'{"seq":2,"whole":true,"hosts":[')
+async def reset_in_body(reader, writer) -> None:
+    """Resets the connection within a body without a Content-Length, which only a regular close ends."""
+    await send(writer, RESPONSE_HEAD + b"\r\n" + b'{"seq":2,"whole":true,"hosts":[')
     await asyncio.sleep(0.02)
     writer.transport.abort()
 
 
-async def is_cut_short(reader, writer) -> None:
-    """A length that is not reached."""
-    await say(writer, HEAD + b'Content-Length: 500\r\n\r\n{"seq":2,"whole":true,"hosts":[]}')
+async def truncate_body(reader, writer) -> None:
+    """Closes the connection before the Content-Length is reached."""
+    await send(writer, RESPONSE_HEAD + b'Content-Length: 500\r\n\r\n{"seq":2,"whole":true,"hosts":[]}')
     writer.close()
 
 
-async def refuses(reader, writer) -> None:
-    """503 with a body that never comes."""
-    await say(writer, b"HTTP/1.1 503 Overbooked\r\nContent-Length: 500\r\n\r\n")
+async def stall_error_body(reader, writer) -> None:
+    """Sends status 503 with a body that never arrives."""
+    await send(writer, b"HTTP/1.1 503 Overbooked\r\nContent-Length: 500\r\n\r\n")
     await asyncio.sleep(60)
 
 
-async def has_a_bad_entry(reader, writer) -> None:
-    """A list with an entry that makes no sense."""
+async def send_invalid_entry(reader, writer) -> None:
+    """Sends a snapshot with an invalid entry."""
     body = json.dumps({"seq": 2, "whole": True, "hosts": ["odd"]}).encode()
-    await say(writer, HEAD + b"Content-Length: %d\r\n\r\n" % len(body) + body)
+    await send(writer, RESPONSE_HEAD + b"Content-Length: %d\r\n\r\n" % len(body) + body)
+
 
+async def raw_scripted_discovery(script: list[ConnectionHandler]) -> tuple[str, list[str]]:
+    """Starts a discovery server that handles its n-th call with the n-th handler, without an HTTP library.
 
-async def scripted(script: list[Trouble]) -> tuple[str, list[str]]:
-    """A peer that takes one call after another as the script says, bare of any HTTP library; its calls."""
+    Returns its address and the paths of the calls, which grow as calls arrive.
+    """
     calls: list[str] = []
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -264,164 +272,193 @@
     return "{}:{}".format(*server.sockets[0].getsockname()), calls
 
 
-def indented(version: int, entries: Sequence[dict]) -> bytes:
+def encode_snapshot(version: int, entries: Sequence[dict]) -> bytes:
     return json.dumps({"seq": version, "whole": True, "hosts": entries}, indent=4).encode()
 
 
-def gives(version: int, *entries: dict, sized: bool = True) -> Trouble:
-    """A good list, indented and in pieces; where it is not sized, its end is the connection's."""
+def snapshot_handler(version: int, *entries: dict, content_length: bool = True) -> ConnectionHandler:
+    """Returns a handler that sends a snapshot in pieces.
 
-    async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        body = indented(version, entries)
-        await say(writer, HEAD + (b"Content-Length: %d\r\n\r\n" % len(body) if sized else b"\r\n"))
-        size = max(50, len(body) // 100)
-        for i in range(0, len(body), size):
-            await say(writer, body[i : i + size])
+    Without a Content-Length, closing the connection ends the body.
+    """
+
+    async def send_snapshot(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        body = encode_snapshot(version, entries)
+        await send(
+            writer, RESPONSE_HEAD + (b"Content-Length: %d\r\n\r\n" % len(body) if content_length else b"\r\n")
+        )
+        piece_size = max(50, len(body) // 100)
+        for offset in range(0, len(body), piece_size):
+            await send(writer, body[offset : offset + piece_size])
             await asyncio.sleep(0)
-        if not sized:
+        if not content_length:
             writer.close()
 
-    return answer
+    return send_snapshot
 
 
-ENDLESS = [is_silent, trickles, stops_in_the_head]  # only a budget ends these
-TROUBLES = [*ENDLESS, is_reset, floods, is_cut, is_cut_short, refuses, has_a_bad_entry]
+UNENDING_FAULTS = [never_respond, trickle_body, stall_in_head]  # only a timeout ends these calls
+FAULTS = [
+    *UNENDING_FAULTS,
+    reset_before_response,
+    send_endless_body,
+    reset_in_body,
+    truncate_body,
+    stall_error_body,
+    send_invalid_entry,
+]
 
 
 @pytest.mark.parametrize("watching", [True, False])
-@pytest.mark.parametrize("trouble", TROUBLES)
-def test_after_each_trouble_the_change_is_told_and_no_call_holds_up_the_next(
-    trouble, watching, monkeypatch, caplog
-):
-    """Guards the 6 s: the next call begins when it is due, not when the one in trouble ends, and is told."""
-    budgets = {"WATCH": 0.2, "ANSWER": 0.1} if trouble in ENDLESS else {"WATCH": 600.0, "ANSWER": 600.0}
-    for name, value in (budgets | {"TOLD": 2000.0, "PAUSE": 0.01, "PAUSE_MOST": 0.02}).items():
+@pytest.mark.parametrize("fault", FAULTS)
+def test_faulty_call_does_not_delay_next_call(fault, watching, monkeypatch, caplog):
+    """Guards the propagation time: the next call starts when due, even if the faulty call has not ended."""
+    timeouts = (
+        {"WATCH": 0.2, "ANSWER": 0.1} if fault in UNENDING_FAULTS else {"WATCH": 600.0, "ANSWER": 600.0}
+    )
+    for name, value in (timeouts | {"TOLD": 2000.0, "PAUSE": 0.01, "PAUSE_MOST": 0.02}).items():
         monkeypatch.setattr(call_schedule, name, value)
-    begun: list[float] = []  # when each call began
-    ask = discovery_module.ask
+    started_at: list[float] = []  # loop time of the start of each call
+    fetch = discovery_module.ask
 
-    async def timed(*args):
-        begun.append(asyncio.get_running_loop().time())
-        return await ask(*args)
+    async def timed_fetch(*args):
+        started_at.append(asyncio.get_running_loop().time())
+        return await fetch(*args)
 
-    monkeypatch.setattr(discovery_module, "ask", timed)
+    monkeypatch.setattr(discovery_module, "ask", timed_fetch)
 
     async def test() -> None:
-        before = [gives(1, SERVER_ENTRY)] if watching else []
-        draining = gives(3, SERVER_ENTRY | {"health": "Terminating"}, sized=False)
-        address, calls = await scripted([*before, trouble, draining])
-        told: asyncio.Queue[HostList] = asyncio.Queue()
-        task = asyncio.create_task(follow(address, told.put_nowait, 2**20))
-        while [s.state for s in (await next_item(told)).servers] != [api.LifecycleState.DRAINING]:
+        preceding = [snapshot_handler(1, SERVER_ENTRY)] if watching else []
+        draining = snapshot_handler(3, SERVER_ENTRY | {"health": "Terminating"}, content_length=False)
+        address, calls = await raw_scripted_discovery([*preceding, fault, draining])
+        received: asyncio.Queue[HostList] = asyncio.Queue()
+        task = asyncio.create_task(follow(address, received.put_nowait, 2**20))
+        while [server.state for server in (await next_item(received)).servers] != [
+            api.LifecycleState.DRAINING
+        ]:
             pass
         task.cancel()
         with suppress(asyncio.CancelledError):
             await task
-        assert ("since=1" in calls[len(before)]) is watching
+        assert ("since=1" in calls[len(preceding)]) is watching
 
     run_on_uvloop(test())
-    if trouble in ENDLESS:  # nothing else ends the wait for it
-        gap = begun[int(watching) + 1] - begun[int(watching)]
+    if fault in UNENDING_FAULTS:  # the next call starts once this one is overdue
+        gap = started_at[int(watching) + 1] - started_at[int(watching)]
         assert gap >= (0.3 if watching else 0.1) - 0.01
-    assert (f"{2**20} are the most" in caplog.text) is (trouble is floods)
+    assert (f"{2**20} are the most" in caplog.text) is (fault is send_endless_body)
 
 
-def test_a_watch_that_is_reset_and_asked_once_more_is_overdue_as_one_call(monkeypatch):
-    """Guards the 6 s: a call is repeated where a kept connection breaks; its time goes on."""
+def test_repeated_watch_is_overdue_as_one_call(monkeypatch):
+    """Guards the propagation time: repeating a call after a reset does not extend its timeout."""
     for name, value in {"WATCH": 0.2, "ANSWER": 0.3, "PAUSE": 0.01}.items():
         monkeypatch.setattr(call_schedule, name, value)
-    times: list[float] = []
+    called_at: list[float] = []
 
-    def timed(trouble: Trouble) -> Trouble:
-        async def answer(reader, writer) -> None:
-            times.append(asyncio.get_running_loop().time())
-            await trouble(reader, writer)
+    def timed(handler: ConnectionHandler) -> ConnectionHandler:
+        async def timed_handler(reader, writer) -> None:
+            called_at.append(asyncio.get_running_loop().time())
+            await handler(reader, writer)
 
-        return answer
+        return timed_handler
 
     async def late_reset(reader, writer) -> None:
         await asyncio.sleep(0.15)
         writer.transport.abort()
 
     async def test() -> None:
-        script = [gives(1, SERVER_ENTRY), late_reset, is_silent, gives(3, SERVER_ENTRY)]
-        address, calls = await scripted([timed(trouble) for trouble in script])
-        told: asyncio.Queue[HostList] = asyncio.Queue()
-        task = asyncio.create_task(follow(address, told.put_nowait, 2**20))
-        assert [(await next_item(told)).version, (await next_item(told)).version] == [1, 3]
+        script = [
+            snapshot_handler(1, SERVER_ENTRY),
+            late_reset,
+            never_respond,
+            snapshot_handler(3, SERVER_ENTRY),
+        ]
+        address, calls = await raw_scripted_discovery([timed(handler) for handler in script])
+        received: asyncio.Queue[HostList] = asyncio.Queue()
+        task = asyncio.create_task(follow(address, received.put_nowait, 2**20))
+        assert [(await next_item(received)).version, (await next_item(received)).version] == [1, 3]
         task.cancel()
         with suppress(asyncio.CancelledError):
             await task
         assert ["since=1" in call for call in calls[:4]] == [False, True, True, False]
-        assert times[3] - times[1] < 0.2 + 0.3 + 0.1  # not 0.15 s more
+        assert called_at[3] - called_at[1] < 0.2 + 0.3 + 0.1  # not extended by the 0.15 s before the reset
 
     run_on_uvloop(test())
 
 
-@pytest.mark.parametrize("versions", [[], [5]])
-def test_a_connect_that_never_comes_up_does_not_hold_up_the_next_call(versions, monkeypatch, caplog):
-    """Guards the 6 s: also before a watch, whose wait does not count before it is asked for."""
+@pytest.mark.parametrize("known_versions", [[], [5]])
+def test_hanging_connect_does_not_delay_next_call(known_versions, monkeypatch, caplog):
+    """Guards the propagation time when connects hang, for snapshot calls and for watches."""
     for name, value in {"WATCH": 0.1, "WATCH_LEAST": 0.1, "ANSWER": 0.1, "OVERDUE_MOST": 0.1}.items():
         monkeypatch.setattr(call_schedule, name, value)
 
     async def test() -> None:
         with UnresponsiveListener() as address:
-            follower = Follower(address, lambda hosts: None, 2**20)
-            follower.version = next(iter(versions), None)
-            task = asyncio.create_task(follower.run())
+            watcher = Follower(address, lambda hosts: None, 2**20)
+            watcher.version = next(iter(known_versions), None)
+            task = asyncio.create_task(watcher.run())
             async with asyncio.timeout(WAIT_TIMEOUT):
                 while caplog.text.count("no answer for") < 5:
                     await asyncio.sleep(0.01)
-            assert 1 < len(follower.calls) <= call_schedule.CALLS_MOST
+            assert 1 < len(watcher.calls) <= call_schedule.CALLS_MOST
             task.cancel()
-            follower.close()
+            watcher.close()
 
     run_on_uvloop(test())
 
 
-@pytest.mark.parametrize("lacking", [0, 1])
-def test_an_answer_of_many_servers_is_read_up_to_the_most_that_memory_allows(lacking, monkeypatch, caplog):
-    """Guards the memory limit without shutting out a large fleet."""
+@pytest.mark.parametrize("shortfall", [0, 1])
+def test_body_is_read_up_to_size_limit(shortfall, monkeypatch, caplog):
+    """Guards against exceeding the memory limit and against rejecting the list of a large fleet.
+
+    The size limit is the body's length less `shortfall` bytes.
+    """
     monkeypatch.setattr(call_schedule, "ANSWER", 600.0)
     entries = [SERVER_ENTRY | {"host": f"s{i}"} for i in range(5000)]
-    length = len(indented(1, entries))
+    length = len(encode_snapshot(1, entries))
 
     async def test() -> None:
-        address, _ = await scripted([gives(1, *entries, sized=False), gives(2, SERVER_ENTRY), is_silent])
-        told: asyncio.Queue[HostList] = asyncio.Queue()
-        task = asyncio.create_task(follow(address, told.put_nowait, length - lacking))
-        first = await next_item(told)
-        assert (first.version, len(first.servers)) == ((2, 1) if lacking else (1, 5000))
+        address, _ = await raw_scripted_discovery(
+            [
+                snapshot_handler(1, *entries, content_length=False),
+                snapshot_handler(2, SERVER_ENTRY),
+                never_respond,
+            ]
+        )
+        received: asyncio.Queue[HostList] = asyncio.Queue()
+        task = asyncio.create_task(follow(address, received.put_nowait, length - shortfall))
+        first = await next_item(received)
+        assert (first.version, len(first.servers)) == ((2, 1) if shortfall else (1, 5000))
         task.cancel()
         with suppress(asyncio.CancelledError):
             await task
 
     run_on_uvloop(test())
-    assert ("given up after" in caplog.text) is bool(lacking)
+    assert ("given up after" in caplog.text) is bool(shortfall)
 
 
-def test_an_answer_may_take_a_part_of_what_the_configuration_allows():
+def test_size_limit_is_fraction_of_memory():
     config = read(raw_config(limits={"memory_mb": 96, "sockets": 256}), {})
     assert config.memory == 96 * 2**20
     assert Discovery(lambda hosts: None, config.memory).size_most == 8 * 2**20
 
 
-def test_discovery_that_moves_breaks_off_its_watch():
-    """Guards the 4 s after a reload: a watch that is out at the old address may wait for longer."""
+def test_address_change_cancels_watch():
+    """Guards against a reload that waits for a watch at the old address to end."""
 
     async def test() -> None:
-        old, old_calls = await scripted_discovery([hosts_response(41, SERVER_ENTRY)])
-        new, new_calls = await scripted_discovery([hosts_response(7, SERVER_ENTRY)])
-        told: asyncio.Queue[HostList] = asyncio.Queue()
-        follower = Discovery(told.put_nowait, 2**27)
-        follower.move(old)
-        assert (await next_item(told)).version == 41
+        old_address, old_calls = await scripted_discovery([hosts_response(41, SERVER_ENTRY)])
+        new_address, new_calls = await scripted_discovery([hosts_response(7, SERVER_ENTRY)])
+        received: asyncio.Queue[HostList] = asyncio.Queue()
+        discovery = Discovery(received.put_nowait, 2**27)
+        discovery.move(old_address)
+        assert (await next_item(received)).version == 41
         async with asyncio.timeout(10):
-            while len(old_calls) < 2:  # the watch is out, and is never answered
+            while len(old_calls) < 2:  # the watch is pending and is never answered
                 await asyncio.sleep(0)
-            follower.move(new)
-            assert (await told.get()).version == 7
+            discovery.move(new_address)
+            assert (await received.get()).version == 7
         assert new_calls[0] == "/discovery/hosts"
-        follower.stop()
+        discovery.stop()
 
     run_on_uvloop(test())
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""The program as a process: start, signals, a first list, and datagrams."""
+"""The program as a process: configuration, signals, the first list, and peer datagrams."""
 
 from __future__ import annotations
 
@@ -35,22 +35,22 @@
 from thymehinge.net.driver import FIRST_LIST
 
 
-def test_datagrams_are_known_by_their_sender():
-    """Guards the module against strangers, and against messages that no gateway may send."""
+def test_datagrams_identified_by_sender_address():
+    """Guards the decision module against datagrams from unknown senders and oversized ones."""
 
     async def test() -> None:
-        kit = GatewayHarness()
-        loop, peers = asyncio.get_running_loop(), kit.driver.peers
-        listening, _ = await loop.create_datagram_endpoint(lambda: peers, local_addr=(HOST, 0))
-        to = listening.get_extra_info("sockname")
+        harness = GatewayHarness()
+        loop, peers = asyncio.get_running_loop(), harness.driver.peers
+        transport, _ = await loop.create_datagram_endpoint(lambda: peers, local_addr=(HOST, 0))
+        gateway_address = transport.get_extra_info("sockname")
         peer, stranger = (socket.socket(type=socket.SOCK_DGRAM) for _ in range(2))
         peer.bind(("127.0.0.2", 0))
         peers.numbers = {peer.getsockname(): 1}
-        stranger.sendto(b"stranger", to)
-        peer.sendto(b"x" * 257, to)
-        peer.sendto(b"\xff\x00 no message of ours", to)
-        assert (await kit.wait_for_event(api.PeerMessage)).body == b"\xff\x00 no message of ours"
-        peers.peers = (to, peer.getsockname())
+        stranger.sendto(b"stranger", gateway_address)
+        peer.sendto(b"x" * 257, gateway_address)
+        peer.sendto(b"\xff\x00 no message of ours", gateway_address)
+        assert (await harness.wait_for_event(api.PeerMessage)).body == b"\xff\x00 no message of ours"
+        peers.peers = (gateway_address, peer.getsockname())
         peers.tell(b"hello", 1)
         peer.settimeout(5)
         assert await asyncio.to_thread(peer.recv, 300) == b"hello"
@@ -59,25 +59,25 @@
     run_on_uvloop(test())
 
 
-def without(path: str) -> dict:
-    """A configuration that lacks the value at a dotted path."""
-    raw = raw_config()
-    node = raw
-    *parents, last = path.split(".")
-    for name in parents:
-        node = node[name]
-    del node[last]
-    return raw
+def config_without(path: str) -> dict:
+    """Returns a configuration without the value at a dotted path."""
+    config = raw_config()
+    node = config
+    *parents, key = path.split(".")
+    for parent in parents:
+        node = node[parent]
+    del node[key]
+    return config
 
 
 @pytest.mark.parametrize(
-    ("config", "named"),
+    ("config", "expected_text"),
     [
         ("{", "EDGE_CONFIG"),
         ("[]", "not an object"),
-        (without("settings.balancers"), "balancers"),
-        (without("settings"), "settings"),
-        (without("listen"), "listen"),
+        (config_without("settings.balancers"), "balancers"),
+        (config_without("settings"), "settings"),
+        (config_without("listen"), "listen"),
         (raw_config(listen="nowhere"), "listen"),
         (raw_config(limits={"sockets": 3}), "limits.sockets"),
         (raw_config(limits={"memory_mb": 0}), "limits.memory_mb"),
@@ -88,32 +88,33 @@
         (raw_config(listen="127.0.0.1:1", peer_listen="192.0.2.1:7"), "listen"),
     ],
 )
-def test_a_bad_configuration_ends_the_start_with_one_line(tmp_path, config, named):
+def test_invalid_config_fails_startup_with_one_line(tmp_path, config, expected_text):
     process = start_gateway(tmp_path / "config.json", config)
     error = process.communicate(timeout=20)[1]
     assert process.returncode == 2
-    assert error.count("\n") == 1 and error.startswith("thymehinge: ") and named in error
+    assert error.count("\n") == 1 and error.startswith("thymehinge: ") and expected_text in error
 
 
-Running = tuple[subprocess.Popen, int, asyncio.Queue[RespConnection]]
+RunningProgram = tuple[subprocess.Popen, int, asyncio.Queue[RespConnection]]
 
 
 @asynccontextmanager
-async def running(path: Path, *known: dict | None, **environ: str) -> AsyncIterator[Running]:
-    """The program with one server: its process, its port and the connections that the server gets.
+async def run_program(path: Path, *known: dict | None, **environ: str) -> AsyncIterator[RunningProgram]:
+    """Runs the program with one server; yields its process, its port and the server's connections.
 
-    It knows that server, discovery being down, unless it is told of another known list, or none.
+    The program's known list is `known`, by default a list with that server. Discovery is down unless
+    `environ` names another address.
     """
-    came: asyncio.Queue[RespConnection] = asyncio.Queue()
-    server = await asyncio.start_server(lambda r, w: came.put_nowait(RespConnection(r, w)), HOST, 0)
-    dial = "{}:{}".format(*server.sockets[0].getsockname())
-    with socket.socket() as free:
-        free.bind((HOST, 0))
-        port = free.getsockname()[1]
-    mine = {"seq": 1, "whole": True, "hosts": [SERVER_ENTRY | {"dial": dial}]}
-    config = raw_config(listen=f"{HOST}:{port}", discovery=f"{HOST}:1", known=[*known, mine][0])
-    for cls in config["settings"]["classes"]:
-        cls["give_up_s"] = 1.0
+    connections: asyncio.Queue[RespConnection] = asyncio.Queue()
+    server = await asyncio.start_server(lambda r, w: connections.put_nowait(RespConnection(r, w)), HOST, 0)
+    address = "{}:{}".format(*server.sockets[0].getsockname())
+    with socket.socket() as probe:
+        probe.bind((HOST, 0))
+        port = probe.getsockname()[1]
+    own_list = {"seq": 1, "whole": True, "hosts": [SERVER_ENTRY | {"dial": address}]}
+    config = raw_config(listen=f"{HOST}:{port}", discovery=f"{HOST}:1", known=[*known, own_list][0])
+    for request_class in config["settings"]["classes"]:
+        request_class["give_up_s"] = 1.0
     process = start_gateway(path, config, **environ)
     try:
         async with asyncio.timeout(10):
@@ -121,7 +122,7 @@
                 with suppress(ConnectionError):
                     (await connect(port)).writer.close()
                     break
-        yield process, port, came
+        yield process, port, connections
     finally:
         process.kill()
         process.communicate()
@@ -131,24 +132,24 @@
     return RespConnection(*await asyncio.open_connection(HOST, port))
 
 
-def test_sigterm_finishes_what_is_held_and_ends_well(tmp_path):
-    """Guards the planned restart: a held request is answered, an idle connection closed, the exit code 0."""
+def test_sigterm_drains_and_exits_with_zero(tmp_path):
+    """Guards planned restarts: pending requests are answered and idle connections closed."""
 
     async def test() -> None:
-        async with running(tmp_path / "config.json") as (process, port, came):
+        async with run_program(tmp_path / "config.json") as (process, port, connections):
             client, idle = await connect(port), await connect(port)
-            for each in (client, idle):
-                each.write(hiredis.pack_command(("PING",)))
-                assert await each.read() == b"PONG"
+            for connection in (client, idle):
+                connection.write(hiredis.pack_command(("PING",)))
+                assert await connection.read() == b"PONG"
             client.write(pack_request())
-            held = await next_item(came)
-            await held.read()
+            server_connection = await next_item(connections)
+            await server_connection.read()
             process.send_signal(signal.SIGTERM)
-            late = await connect(port)  # these still come for a moment
-            late.write(hiredis.pack_command(("PING",)))
-            assert await late.read() == b"PONG"
+            late_client = await connect(port)  # new connections are accepted for a short time
+            late_client.write(hiredis.pack_command(("PING",)))
+            assert await late_client.read() == b"PONG"
             assert await idle.wait_closed()
-            held.write(success_reply(b"held"))
+            server_connection.write(success_reply(b"held"))
             assert await client.read() == b"held"
             assert await client.wait_closed()
             assert await asyncio.to_thread(process.wait, 10) == 0
@@ -156,52 +157,52 @@
     run_on_uvloop(test())
 
 
-def test_sighup_follows_the_file_and_keeps_what_is_held(tmp_path):
-    """Guards the reload: the old address stays in the environment, a bad file changes nothing."""
+def test_sighup_reloads_config_and_keeps_pending_requests(tmp_path):
+    """Guards reloads: a changed file overrides the environment's address, an invalid file is ignored."""
 
     async def test() -> None:
         path = tmp_path / "config.json"
-        new, calls = await scripted_discovery(
+        new_address, calls = await scripted_discovery(
             [hosts_response(7, SERVER_ENTRY | {"host": "s9"}), hosts_response(8, snapshot=False)]
         )
-        async with running(path, EDGE_DISCOVERY=f"{HOST}:1") as (process, port, came):
+        async with run_program(path, EDGE_DISCOVERY=f"{HOST}:1") as (process, port, connections):
             client = await connect(port)
             client.write(pack_request())
-            held = await next_item(came)
-            await held.read()
-            good = json.loads(path.read_text())
+            server_connection = await next_item(connections)
+            await server_connection.read()
+            valid_config = json.loads(path.read_text())
             path.write_text("{ half")
             process.send_signal(signal.SIGHUP)
             async with asyncio.timeout(10):
                 while "old configuration stays" not in await asyncio.to_thread(process.stderr.readline):
                     pass
-                path.write_text(json.dumps(good | {"discovery": new}))
+                path.write_text(json.dumps(valid_config | {"discovery": new_address}))
                 process.send_signal(signal.SIGHUP)
-                while len(calls) < 2:  # the list was taken in: a watch on it is out
+                while len(calls) < 2:  # a watch shows that the list has been applied
                     await asyncio.sleep(0)
-            held.write(success_reply(b"held"))
+            server_connection.write(success_reply(b"held"))
             assert await client.read() == b"held"
             assert process.poll() is None
 
     run_on_uvloop(test())
 
 
-@pytest.mark.parametrize("again", [signal.SIGTERM, signal.SIGINT, signal.SIGHUP])
-def test_a_further_signal_while_draining_changes_nothing_for_what_is_held(tmp_path, again):
-    """Guards the planned restart: a second SIGTERM, or a new configuration, may come in the middle of it."""
+@pytest.mark.parametrize("second_signal", [signal.SIGTERM, signal.SIGINT, signal.SIGHUP])
+def test_second_signal_does_not_affect_drain(tmp_path, second_signal):
+    """Guards planned restarts against a second SIGTERM or a reload during the drain."""
 
     async def test() -> None:
-        async with running(tmp_path / "config.json") as (process, port, came):
+        async with run_program(tmp_path / "config.json") as (process, port, connections):
             client, idle = await connect(port), await connect(port)
             idle.write(hiredis.pack_command(("PING",)))
             assert await idle.read() == b"PONG"
             client.write(pack_request())
-            held = await next_item(came)
-            await held.read()
+            server_connection = await next_item(connections)
+            await server_connection.read()
             process.send_signal(signal.SIGTERM)
-            assert await idle.wait_closed()  # it drains
-            process.send_signal(again)
-            held.write(success_reply(b"held"))
+            assert await idle.wait_closed()  # the gateway is draining
+            process.send_signal(second_signal)
+            server_connection.write(success_reply(b"held"))
             assert await client.read() == b"held"
             assert await client.wait_closed()
             assert await asyncio.to_thread(process.wait, 10) == 0
@@ -209,38 +210,38 @@
     run_on_uvloop(test())
 
 
-def test_what_would_outlast_the_kill_is_answered_before_it(tmp_path):
-    """Guards against a lost request: SIGKILL heeds the longest deadline, not what a client says."""
+def test_drain_answers_long_requests_before_sigkill(tmp_path):
+    """Guards against losing a request whose timeout is longer than the time until SIGKILL."""
 
     async def test() -> None:
-        async with running(tmp_path / "config.json") as (process, port, came):
+        async with run_program(tmp_path / "config.json") as (process, port, connections):
             client = await connect(port)
             client.write(pack_request(fields=b"c=lookup,t=village,d=9000"))
-            await (await next_item(came)).read()
+            await (await next_item(connections)).read()
             process.send_signal(signal.SIGTERM)
-            told = time.monotonic()
+            signalled_at = time.monotonic()
             assert isinstance(await client.read(), hiredis.ReplyError)
             assert await asyncio.to_thread(process.wait, 10) == 0
-            assert time.monotonic() - told < 2.5
+            assert time.monotonic() - signalled_at < 2.5
 
     run_on_uvloop(test())
 
 
 PING = hiredis.pack_command(("PING",))
-EMPTY = {"seq": 1, "whole": True, "hosts": []}
+EMPTY_LIST = {"seq": 1, "whole": True, "hosts": []}
 
 
-def down(silent: bool) -> tuple[socket.socket, str]:
-    """Where discovery will be and is not yet: calls are refused, or taken and never answered."""
-    at = socket.socket()
-    at.bind((HOST, 0))
+def unavailable_discovery(silent: bool) -> tuple[socket.socket, str]:
+    """Reserves an address for discovery; calls are refused, or accepted and never answered if `silent`."""
+    sock = socket.socket()
+    sock.bind((HOST, 0))
     if silent:
-        at.listen()
-    return at, "{}:{}".format(*at.getsockname())
+        sock.listen()
+    return sock, "{}:{}".format(*sock.getsockname())
 
 
-async def admitted(port: int) -> RespConnection:
-    """A connection on which the gateway has said that it is ready."""
+async def connect_when_ready(port: int) -> RespConnection:
+    """Returns a client connection once the gateway answers PING with +PONG."""
     async with asyncio.timeout(WAIT_TIMEOUT):
         while True:
             client = await connect(port)
@@ -252,95 +253,97 @@
 
 
 @pytest.mark.parametrize("silent", [False, True])
-def test_an_old_list_serves_while_discovery_is_down(tmp_path, silent):
-    """Guards the restart: the first answer to PING is +PONG, and what asks then is served."""
+def test_known_list_serves_while_discovery_is_down(tmp_path, silent):
+    """Guards restarts: the gateway is ready at once and serves from the known list."""
 
     async def test() -> None:
-        at, address = down(silent)
-        async with running(tmp_path / "config.json", EDGE_DISCOVERY=address) as (_, port, came):
+        discovery_socket, address = unavailable_discovery(silent)
+        async with run_program(tmp_path / "config.json", EDGE_DISCOVERY=address) as (_, port, connections):
             client = await connect(port)
             client.write(PING + pack_request())
             assert await client.read() == b"PONG"
-            held = await next_item(came)
-            await held.read()
-            held.write(success_reply(b"old"))
+            server_connection = await next_item(connections)
+            await server_connection.read()
+            server_connection.write(success_reply(b"old"))
             assert await client.read() == b"old"
-        at.close()
+        discovery_socket.close()
 
     run_on_uvloop(test())
 
 
-@pytest.mark.parametrize(("known", "silent"), [(None, False), (EMPTY, True)])
-def test_without_a_list_it_is_ready_after_a_while_refuses_and_serves_once_there_is_one(
-    tmp_path, known, silent
-):
-    """Guards the restart with discovery down: what comes is answered in time, and nothing is lost."""
+@pytest.mark.parametrize(("known", "silent"), [(None, False), (EMPTY_LIST, True)])
+def test_without_list_refuses_until_first_list(tmp_path, known, silent):
+    """Guards a start without a list: the gateway becomes ready, refuses, and serves after the first list."""
 
     async def test() -> None:
-        at, address = down(silent)
-        server = asyncio.Queue()
-        listener = await asyncio.start_server(lambda r, w: server.put_nowait(RespConnection(r, w)), HOST, 0)
+        discovery_socket, address = unavailable_discovery(silent)
+        connections = asyncio.Queue()
+        listener = await asyncio.start_server(
+            lambda r, w: connections.put_nowait(RespConnection(r, w)), HOST, 0
+        )
         entry = SERVER_ENTRY | {"dial": "{}:{}".format(*listener.sockets[0].getsockname())}
-        async with running(tmp_path / "config.json", known, EDGE_DISCOVERY=address) as (_, port, _):
-            client = await admitted(port)
+        async with run_program(tmp_path / "config.json", known, EDGE_DISCOVERY=address) as (_, port, _):
+            client = await connect_when_ready(port)
             client.write(pack_request(fields=b"c=lookup,t=village,d=300"))
             assert str(await client.read()).startswith("BUSY")
-            _, calls = await scripted_discovery([hosts_response(1, entry) for _ in range(9)], at)
+            _, calls = await scripted_discovery(
+                [hosts_response(1, entry) for _ in range(9)], discovery_socket
+            )
             async with asyncio.timeout(WAIT_TIMEOUT):
-                while not any("since" in call for call in calls):  # the list was taken in
+                while not any("since" in call for call in calls):  # the list has been applied
                     await asyncio.sleep(0)
             client.write(pack_request())
-            held = await next_item(server)
-            await held.read()
-            held.write(success_reply(b"new"))
+            server_connection = await next_item(connections)
+            await server_connection.read()
+            server_connection.write(success_reply(b"new"))
             assert await client.read() == b"new"
 
     run_on_uvloop(test())
 
 
-@pytest.mark.parametrize("known", [None, EMPTY])
-def test_clients_are_kept_off_until_there_is_a_list_or_its_time_is_up(known):
-    """Guards against turning clients away at a start, by a clock that stands still."""
+@pytest.mark.parametrize("known", [None, EMPTY_LIST])
+def test_not_ready_until_first_list_or_timeout(known):
+    """Guards against reporting ready before there is a list, or not at all; the clock is set by hand."""
 
     async def test() -> None:
-        kit = GatewayHarness(known=known)
-        began = kit.driver.listening
+        harness = GatewayHarness(known=known)
+        listening_since = harness.driver.listening
 
         async def ping(seconds: float) -> bool:
-            kit.driver.clock = lambda: began + seconds
-            client = await kit.connect_client()
+            harness.driver.clock = lambda: listening_since + seconds
+            client = await harness.connect_client()
             client.write(PING)
             return await client.read() == b"PONG"
 
         assert not await ping(0.0) and not await ping(FIRST_LIST - 0.01) and await ping(FIRST_LIST)
         assert not await ping(0.1)
-        kit.driver.on_list(read_list({"seq": 2, "whole": True, "hosts": [SERVER_ENTRY]}))
+        harness.driver.on_list(read_list({"seq": 2, "whole": True, "hosts": [SERVER_ENTRY]}))
         assert await ping(0.1)
 
     run_on_uvloop(test())
 
 
-def test_a_first_list_that_comes_soon_is_waited_for(tmp_path):
-    """Guards against an early +PONG: what asks a gateway that says it is ready has a server."""
+def test_readiness_waits_for_first_list(tmp_path):
+    """Guards against reporting ready before the first list, and so without a server for requests."""
 
     async def test() -> None:
-        listener = await asyncio.start_server(lambda r, w: server.put_nowait(RespConnection(r, w)), HOST, 0)
-        server: asyncio.Queue[RespConnection] = asyncio.Queue()
+        listener = await asyncio.start_server(
+            lambda r, w: connections.put_nowait(RespConnection(r, w)), HOST, 0
+        )
+        connections: asyncio.Queue[RespConnection] = asyncio.Queue()
         entry = SERVER_ENTRY | {"dial": "{}:{}".format(*listener.sockets[0].getsockname())}
-        address, _ = await scripted_discovery(
-            [NO_ANSWER, hosts_response(1, entry)]
-        )  # the first call goes unanswered
-        async with running(tmp_path / "config.json", None, EDGE_DISCOVERY=address) as (_, port, _):
-            client = await admitted(port)
+        address, _ = await scripted_discovery([NO_ANSWER, hosts_response(1, entry)])
+        async with run_program(tmp_path / "config.json", None, EDGE_DISCOVERY=address) as (_, port, _):
+            client = await connect_when_ready(port)
             client.write(pack_request(fields=b"c=lookup,t=village,d=1000"))
-            held = await next_item(server)
-            await held.read()
-            held.write(success_reply(b"there"))
+            server_connection = await next_item(connections)
+            await server_connection.read()
+            server_connection.write(success_reply(b"there"))
             assert await client.read() == b"there"
 
     run_on_uvloop(test())
 
 
-def test_the_variables_win_over_the_file():
+def test_environment_overrides_config_file():
     config = read(raw_config(), {"EDGE_LISTEN": "127.0.0.9:7", "EDGE_DISCOVERY": "127.0.0.9:8"})
     assert config.listen == ("127.0.0.9", 7) and config.discovery == "127.0.0.9:8"
--- a/tests/test_server_answers.py
+++ b/tests/test_server_answers.py
@@ -1,4 +1,4 @@
-"""What servers answer: each outcome as the protocol has it, and answers that are spoilt or bring more."""
+"""Answers of table servers: classification of outcomes, malformed answers and extra data."""
 
 from __future__ import annotations
 
@@ -42,26 +42,29 @@
         (success_reply(b"value")[:-9], Result.RESET, {}),
     ],
 )
-def test_what_comes_back_is_told_as_the_protocol_has_it(answer, result, report):
-    """Guards the rule on effects: only what never ran may be told as such. An empty answer is a close."""
+def test_answer_classified_by_protocol(answer, result, report):
+    """Guards against reporting an attempt as not executed though it may have run.
+
+    RESET: the server closes the connection after sending `answer`.
+    """
 
     async def test() -> None:
-        kit, came = await harness_with_server()
-        client = await kit.connect_client()
+        harness, connections = await harness_with_server()
+        client = await harness.connect_client()
         client.write(pack_request(fields=b"c=lookup,t=village,d=1000"))
-        server = await next_item(came)
+        server = await next_item(connections)
         await server.read()
         server.write(answer)
         if result is Result.RESET:
             server.writer.close()
-        outcome = await kit.wait_for_event(api.Outcome)
+        outcome = await harness.wait_for_event(api.Outcome)
         assert (outcome.result, outcome.load_report) == (result, report)
 
     run_on_uvloop(test())
 
 
-GOOD = success_reply(b"value", b"queue=2,util=0.61")
-SPOILT = [
+VALID_ANSWER = success_reply(b"value", b"queue=2,util=0.61")
+MALFORMED_ANSWERS = [
     b"\x10f\xe6\x96\x9cD\r\n",
     b"*3\r\n$3000000000\r\nxxxx",
     b"*3\r\n$7\r\nvalue\r\n$-1\r\n$-1\r\n",
@@ -77,79 +80,82 @@
 ]
 
 
-async def answered(*parts: bytes) -> api.Outcome:
-    """What the module of a gateway is told of an answer that comes in these parts."""
-    kit, came = await harness_with_server()
-    client, server = await request_in_flight(kit, came)
+async def outcome_of_answer(*parts: bytes) -> api.Outcome:
+    """Returns the outcome that the decision module gets for an answer sent in these parts."""
+    harness, connections = await harness_with_server()
+    client, server = await request_in_flight(harness, connections)
     for part in parts:
         server.write(part)
         await asyncio.sleep(0)
-    outcome = await kit.wait_for_event(api.Outcome)
+    outcome = await harness.wait_for_event(api.Outcome)
     client.writer.close()
     server.writer.close()
     return outcome
 
 
-@pytest.mark.parametrize("spoilt", SPOILT)
-def test_a_spoilt_answer_has_run_and_is_never_served(spoilt):
-    """Guards against a wrong value, and against "never ran" for what has: split at every byte."""
+@pytest.mark.parametrize("malformed", MALFORMED_ANSWERS)
+def test_malformed_answer_is_error_and_not_served(malformed):
+    """Guards against serving a wrong value and reporting an executed attempt as not executed.
+
+    The answer arrives in two parts, split at each byte in turn.
+    """
 
     async def test() -> None:
-        for cut in range(1, min(len(spoilt), 40)):
-            outcome = await answered(spoilt[:cut], spoilt[cut:])
+        for split in range(1, min(len(malformed), 40)):
+            outcome = await outcome_of_answer(malformed[:split], malformed[split:])
             assert outcome.result is Result.ERROR and not outcome.load_report
 
     run_on_uvloop(test())
 
 
-def test_an_answer_that_stops_half_way_is_spoilt_long_before_the_deadline():
+def test_partial_answer_fails_before_deadline():
     async def test() -> None:
-        outcome = await answered(GOOD[:-3])
+        outcome = await outcome_of_answer(VALID_ANSWER[:-3])
         assert outcome.result is Result.ERROR and outcome.elapsed < 2.0
 
     run_on_uvloop(test())
 
 
 @pytest.mark.parametrize(
-    ("more", "report"),
+    ("answer", "report"),
     [
         (b"*3\r\n$5\r\nvalue\r\n$3\r\n???\r\n$5\r\nnoise\r\n", {}),
         (b"*3\r\n$5\r\nvalue\r\n$-1\r\n$8\r\nqueue=-5\r\n", {}),
         (b"*3\r\n$5\r\nvalue\r\n:12\r\n$11\r\nqueue=1e300\r\n", {}),
         (b"*3\r\n$5\r\nvalue\r\n*2\r\n:1\r\n:2\r\n$7\r\nqueue=2\r\n", {"queue": 2.0}),
-        (GOOD + GOOD, {"queue": 2.0, "util": 0.61}),
-        (GOOD + b"\x00noise", {"queue": 2.0, "util": 0.61}),
+        (VALID_ANSWER + VALID_ANSWER, {"queue": 2.0, "util": 0.61}),
+        (VALID_ANSWER + b"\x00noise", {"queue": 2.0, "util": 0.61}),
     ],
 )
-def test_a_good_answer_that_brings_more_is_served(more, report):
-    """What belongs to nobody ends the connection, and what can't be read tells nothing."""
+def test_valid_answer_with_extra_data_is_served(answer, report):
+    """Guards against reusing a connection with unexpected data and using a malformed load report."""
 
     async def test() -> None:
-        kit, came = await harness_with_server()
-        client, server = await request_in_flight(kit, came)
-        server.write(more)
+        harness, connections = await harness_with_server()
+        client, server = await request_in_flight(harness, connections)
+        server.write(answer)
         assert await client.read() == b"value"
-        outcome = await kit.wait_for_event(api.Outcome)
+        outcome = await harness.wait_for_event(api.Outcome)
         assert outcome.result is Result.OK and outcome.load_report == report
-        if more.startswith(GOOD):
+        if answer.startswith(VALID_ANSWER):
             assert await server.wait_closed()
 
     run_on_uvloop(test())
 
 
-def test_a_second_copy_that_comes_late_is_not_the_next_requests_answer():
-    """Guards against mixed-up answers: a connection is not used again until it has been quiet for a while."""
+def test_duplicate_answer_not_used_for_next_request():
+    """Guards against reusing a connection before the data that may follow an answer has been read."""
 
     async def test() -> None:
-        kit, came = await harness_with_server()
-        client, server = await request_in_flight(kit, came)
+        harness, connections = await harness_with_server()
+        client, server = await request_in_flight(harness, connections)
         server.write(success_reply(b"first"))
         assert await client.read() == b"first"
         client.write(pack_request())
-        next_server = await next_item(came)
+        new_server = await next_item(connections)
         server.write(success_reply(b"first"))
-        await next_server.read()
-        next_server.write(success_reply(b"second"))
+        await new_server.read()
+        new_server.write(success_reply(b"second"))
         assert await client.read() == b"second"
         assert await server.wait_closed()
 
--- a/tests/test_slow_discovery.py
+++ b/tests/test_slow_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery that is slow: a change is told in time, whatever a call takes, and whenever it comes."""
+"""Propagation time of changes with a discovery that answers slowly."""
 
 from __future__ import annotations
 
@@ -12,79 +12,90 @@
 from thymehinge import interface as api
 from thymehinge.net.discovery import HostList, follow
 
-TOLD = 6.0  # s after which a change counts as told, by the standing test
-SLACK = 0.2  # s for this machine, on which some twenty agents answer at once
+PROPAGATION_TIME = 6.0  # seconds within which a change must reach the gateway
+TIMING_SLACK = 0.2  # seconds for scheduling delays, since all scenarios run at once
 
 
-async def told_after(delay: float, moment: float, silent: bool = False) -> float:
-    """Seconds from a change to when it is told; it comes a moment after the first list was."""
-    agent = FakeDiscovery([SERVER_ENTRY], delay)
-    told: asyncio.Queue[HostList] = asyncio.Queue()
-    task = asyncio.create_task(follow(await agent.listen(), told.put_nowait, 2**20))
+async def measure_propagation(answer_delay: float, change_delay: float, silent: bool = False) -> float:
+    """Returns the seconds from a change until its delivery, at most 2 * PROPAGATION_TIME.
+
+    The change comes `change_delay` seconds after the first list. With `silent`, calls received before the
+    change are never answered.
+    """
+    discovery = FakeDiscovery([SERVER_ENTRY], answer_delay)
+    received: asyncio.Queue[HostList] = asyncio.Queue()
+    task = asyncio.create_task(follow(await discovery.listen(), received.put_nowait, 2**20))
     try:
         async with asyncio.timeout(10.0):
-            await told.get()
-        await asyncio.sleep(moment)
+            await received.get()
+        await asyncio.sleep(change_delay)
         if silent:
-            agent.unanswered_before = time.monotonic()
-        agent.update_entry(SERVER_ENTRY["host"], health="Terminating")
-        changed = time.monotonic()
+            discovery.unanswered_before = time.monotonic()
+        discovery.update_entry(SERVER_ENTRY["host"], health="Terminating")
+        changed_at = time.monotonic()
         with suppress(TimeoutError):
-            async with asyncio.timeout(2 * TOLD):
-                while [s.state for s in (await told.get()).servers] != [api.LifecycleState.DRAINING]:
+            async with asyncio.timeout(2 * PROPAGATION_TIME):
+                while [server.state for server in (await received.get()).servers] != [
+                    api.LifecycleState.DRAINING
+                ]:
                     pass
-        return time.monotonic() - changed
+        return time.monotonic() - changed_at
     finally:
         task.cancel()
         with suppress(asyncio.CancelledError):
             await task
-        await agent.runner.cleanup()
-
-
-MOMENTS = [0.0, 0.3, 0.7, 1.1, 1.6, 1.99, 2.1, 2.6, 3.1, 3.6, 4.1]
+        await discovery.runner.cleanup()
 
 
-DELAYS = [0.0, 0.3, 0.8, 1.4, 2.0]
+CHANGE_DELAYS = [0.0, 0.3, 0.7, 1.1, 1.6, 1.99, 2.1, 2.6, 3.1, 3.6, 4.1]  # seconds
+ANSWER_DELAYS = [0.0, 0.3, 0.8, 1.4, 2.0]  # seconds
 
 
-async def slowest(silent: bool) -> dict[float, float]:
-    """The longest time until a change was told, by what each call takes; all of them at once."""
-    plays = [(delay, moment) for delay in DELAYS for moment in MOMENTS]
-    took = await asyncio.gather(*(told_after(delay, moment, silent) for delay, moment in plays))
-    return {delay: max(t for (d, _), t in zip(plays, took, strict=True) if d == delay) for delay in DELAYS}
+async def longest_propagation(silent: bool) -> dict[float, float]:
+    """Returns the longest propagation time by answer delay; runs all scenarios at once."""
+    scenarios = [
+        (answer_delay, change_delay) for answer_delay in ANSWER_DELAYS for change_delay in CHANGE_DELAYS
+    ]
+    times = await asyncio.gather(
+        *(measure_propagation(answer_delay, change_delay, silent) for answer_delay, change_delay in scenarios)
+    )
+    return {
+        answer_delay: max(t for (d, _), t in zip(scenarios, times, strict=True) if d == answer_delay)
+        for answer_delay in ANSWER_DELAYS
+    }
 
 
-def test_a_change_is_told_in_time_by_a_slow_discovery():
-    """Guards the rule on drains: a call that is given up before it can end succeeds never."""
+def test_slow_discovery_meets_propagation_time():
+    """Guards against a call timeout below the answer delay, with which no call ever succeeds."""
 
     async def test() -> None:
-        took = await slowest(silent=False)
-        assert max(took.values()) <= TOLD - SLACK, took
+        longest_times = await longest_propagation(silent=False)
+        assert max(longest_times.values()) <= PROPAGATION_TIME - TIMING_SLACK, longest_times
 
     run_on_uvloop(test())
 
 
-def test_a_change_is_told_in_time_where_a_slow_discoverys_watch_has_fallen_silent():
-    """Guards the same with another trouble in the same window."""
+def test_silent_watch_of_slow_discovery_meets_propagation_time():
+    """Guards against missing the propagation time when a watch also falls silent."""
 
     async def test() -> None:
-        took = await slowest(silent=True)
-        assert max(took.values()) <= TOLD, took
+        longest_times = await longest_propagation(silent=True)
+        assert max(longest_times.values()) <= PROPAGATION_TIME, longest_times
 
     run_on_uvloop(test())
 
 
-def test_a_move_to_a_slow_discovery_is_done_in_four_seconds():
-    """Guards the 4 s after SIGHUP: its first list comes 2 s after the first call."""
+def test_move_to_slow_discovery_within_four_seconds():
+    """Guards the 4 s for a reload with a first list that arrives 2 s after the call."""
 
     async def test() -> None:
-        agent, begun = FakeDiscovery([SERVER_ENTRY], 2.0), time.monotonic()
-        told: asyncio.Queue[HostList] = asyncio.Queue()
-        task = asyncio.create_task(follow(await agent.listen(), told.put_nowait, 2**20))
+        discovery, started_at = FakeDiscovery([SERVER_ENTRY], 2.0), time.monotonic()
+        received: asyncio.Queue[HostList] = asyncio.Queue()
+        task = asyncio.create_task(follow(await discovery.listen(), received.put_nowait, 2**20))
         async with asyncio.timeout(10.0):
-            await told.get()
-        assert time.monotonic() - begun < 4.0
+            await received.get()
+        assert time.monotonic() - started_at < 4.0
         task.cancel()
-        await agent.runner.cleanup()
+        await discovery.runner.cleanup()
 
     run_on_uvloop(test())
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak: random days by fixed seeds (tests/crossing_clients.py), held by the judge of the terms."""
+"""Short soak test: random days with fixed seeds, checked against the terms (tests/crossing_clients.py)."""
 
 from __future__ import annotations
 
@@ -9,17 +9,21 @@
 from crossing_clients import play_day
 from processkit import ROOT
 
-CLIENTS, SOCKETS, SECONDS = 30, 256, 8.0
+CLIENT_COUNT = 30
+MAX_SOCKETS = 256  # descriptors of the gateway
+DURATION = 8.0  # seconds before SIGTERM
 
 
 @pytest.mark.parametrize("seed", [101, 115, 124, 126])
-def test_a_random_day_breaks_no_term(seed):
-    """Their troubles: failing calls, moves, slow discovery, stalls, drains, hangs."""
-    day = argparse.Namespace(seed=seed, clients=CLIENTS, sockets=SOCKETS, seconds=SECONDS, tree=ROOT)
+def test_random_day_violates_no_terms(seed):
+    """The seeds cover failing system calls, address changes, slow discovery, stalls, drains and hangs."""
+    options = argparse.Namespace(
+        seed=seed, clients=CLIENT_COUNT, sockets=MAX_SOCKETS, seconds=DURATION, tree=ROOT
+    )
 
     async def test() -> None:
-        code, counts, troubles = await play_day(day)
-        assert code == 0 and not any(fate.isupper() for fate in counts), (troubles, counts)
+        code, counts, faults = await play_day(options)
+        assert code == 0 and not any(outcome.isupper() for outcome in counts), (faults, counts)
         assert counts["served"] > 0
 
     asyncio.run(test())
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -1,4 +1,4 @@
-"""When a table server started: wall clocks may be stepped by an hour before and after the gateway's start."""
+"""Start times of table servers when wall clocks are wrong or step before or after the gateway's start."""
 
 from __future__ import annotations
 
@@ -25,45 +25,55 @@
 from thymehinge.interface import LifecycleState, ListKind, Server
 from thymehinge.net.start_times import DEPARTED_MOST, StartTimes
 
-HOUR = 3600.0
-DELAY = 0.02  # s that servers take: so much that two are better than one
-SECONDS = 1.0  # of traffic that is counted
+HOUR = 3600.0  # seconds
+ANSWER_DELAY = 0.02  # seconds; long enough that load is spread over two servers
+COUNT_DURATION = 1.0  # seconds
 
 
-async def table_server(name: str) -> tuple[TableServer, dict]:
-    """A server that answers with its name, and its entry, started long ago."""
-    server = await TableServer(name, DELAY).listen()
+async def start_table_server(name: str) -> tuple[TableServer, dict]:
+    """Starts a server that answers with its name; returns it and its entry, with a start long ago."""
+    server = await TableServer(name, ANSWER_DELAY).listen()
     return server, SERVER_ENTRY | {"host": name, "dial": server.address, "born_ms": 0}
 
 
-async def shares(port: int, seconds: float) -> Counter[bytes]:
-    """Who answered the requests of four clients, each of a customer of its own."""
+async def count_answers(port: int, seconds: float) -> Counter[bytes]:
+    """Counts answers by server while four clients send requests, each for a customer of its own."""
     counts: Counter[bytes] = Counter()
 
-    async def client(number: int) -> None:
-        wire, until = RespConnection(*await asyncio.open_connection(HOST, port)), time.monotonic() + seconds
-        for i in range(10**6):
-            if time.monotonic() >= until:
-                return wire.writer.close()
-            wanted = pack_request().replace(REQUEST_ID, b"%08x%08x" % (number, i))
-            wire.write(wanted.replace(CUSTOMER_ID, b"%016x" % (number * 10**5 + i)))
-            counts[await wire.read()] += 1
+    async def client(client_number: int) -> None:
+        connection, stops_at = (
+            RespConnection(*await asyncio.open_connection(HOST, port)),
+            time.monotonic() + seconds,
+        )
+        for request_number in range(10**6):
+            if time.monotonic() >= stops_at:
+                return connection.writer.close()
+            request = pack_request().replace(REQUEST_ID, b"%08x%08x" % (client_number, request_number))
+            connection.write(
+                request.replace(CUSTOMER_ID, b"%016x" % (client_number * 10**5 + request_number))
+            )
+            counts[await connection.read()] += 1
             await asyncio.sleep(0.02)
 
-    await asyncio.gather(*(client(i) for i in range(4)))
+    await asyncio.gather(*(client(client_number) for client_number in range(4)))
     return counts
 
 
-def gateway_configuration(discovery_address: str, port: int, cold_time: float, known: dict | None) -> dict:
+def gateway_config(discovery_address: str, port: int, slow_start_duration: float, known: dict | None) -> dict:
     settings = raw_settings()
-    settings["obligations"] |= {"cold_from": 0.2, "cold_s": cold_time, "fall_s": 1.0, "fall_multiple": 1.0}
+    settings["obligations"] |= {
+        "cold_from": 0.2,
+        "cold_s": slow_start_duration,
+        "fall_s": 1.0,
+        "fall_multiple": 1.0,
+    }
     settings["bounds"]["peers"] = False
-    where = {"listen": f"{HOST}:{port}", "discovery": discovery_address, "known": known}
-    return raw_config(settings=settings, **where)
+    overrides = {"listen": f"{HOST}:{port}", "discovery": discovery_address, "known": known}
+    return raw_config(settings=settings, **overrides)
 
 
 @pytest.mark.parametrize(
-    ("before", "after"),
+    ("initial_offset", "step"),
     [
         (0.0, 0.0),
         (0.0, -HOUR),
@@ -75,114 +85,117 @@
         (0.0, 8.0),
     ],
 )
-def test_a_server_told_as_newly_started_is_cold_whatever_the_clock_says(tmp_path, before, after):
-    """Guards cold servers: one started just now got as much as a warm one after a step of an hour.
+def test_new_server_is_cold_despite_clock_steps(tmp_path, initial_offset, step):
+    """Guards against sending a server that has just started as much as a warm one.
 
-    The clock of the gateway is wrong by `before` at its start; all clocks step by `after` before the server
-    starts.
+    The gateway's wall clock is wrong by `initial_offset` at its start; all wall clocks step by `step` before
+    the server starts (both in seconds).
     """
 
     async def test() -> None:
-        faults = FaultInjector(tmp_path, clock_step_ms=round(before * 1000))
-        started = asyncio.Event()
-        _, warm = await table_server("warm")
-        _, cold = await table_server("cold")
+        faults = FaultInjector(tmp_path, clock_step_ms=round(initial_offset * 1000))
+        server_started = asyncio.Event()
+        _, warm = await start_table_server("warm")
+        _, cold = await start_table_server("cold")
 
-        async def news():
-            await started.wait()
-            return hosts_response(2, cold | {"born_ms": round((time.time() + after) * 1000)}, snapshot=False)
+        async def respond_with_new_server():
+            await server_started.wait()
+            return hosts_response(2, cold | {"born_ms": round((time.time() + step) * 1000)}, snapshot=False)
 
         address, calls = await scripted_discovery(
-            [hosts_response(1, warm), news, hosts_response(2, snapshot=False)]
+            [hosts_response(1, warm), respond_with_new_server, hosts_response(2, snapshot=False)]
         )
         port = free_port()
-        config = gateway_configuration(address, port, 10.0, None)
+        config = gateway_config(address, port, 10.0, None)
         async with running_gateway(tmp_path / "config.json", config, **faults.environ):
-            await shares(port, 1.2)  # it learns what a warm server bears
-            faults.set(clock_step_ms=round((before + after) * 1000))
+            await count_answers(port, 1.2)  # the gateway learns a warm server's capacity
+            faults.set(clock_step_ms=round((initial_offset + step) * 1000))
             while len(calls) < 2:
                 await asyncio.sleep(0.01)
-            started.set()
+            server_started.set()
             while len(calls) < 3:
                 await asyncio.sleep(0.01)
-            counts = await shares(port, SECONDS)
+            counts = await count_answers(port, COUNT_DURATION)
         assert counts[b"warm"] > 20 and counts[b"cold"] < 0.25 * counts[b"warm"]
 
     run_on_uvloop(test())
 
 
-@pytest.mark.parametrize("kind", ["known", "told"])
-def test_a_server_that_started_in_the_future_of_a_slow_clock_does_not_stay_cold(tmp_path, kind):
-    """Guards service: the gateway's clock is an hour behind; the server is warm after its own time."""
+@pytest.mark.parametrize("source", ["known", "received"])
+def test_start_in_future_of_slow_clock_does_not_stay_cold(tmp_path, source):
+    """Guards against a server that stays cold because the gateway's wall clock is an hour behind."""
 
     async def test() -> None:
         faults = FaultInjector(tmp_path, clock_step_ms=round(-HOUR * 1000))
-        _, server = await table_server("recent")
+        _, server = await start_table_server("recent")
         entry = server | {"born_ms": round((time.time() - 60.0) * 1000)}
         known = {"seq": 1, "whole": True, "hosts": [entry]}
         address, _ = await scripted_discovery([hosts_response(1, entry)])
         port = free_port()
-        config = gateway_configuration(address, port, 1.0, known if kind == "known" else None)
+        config = gateway_config(address, port, 1.0, known if source == "known" else None)
         async with running_gateway(tmp_path / "config.json", config, **faults.environ):
             await asyncio.sleep(1.2)
-            assert (await shares(port, SECONDS))[b"recent"] > 20
+            assert (await count_answers(port, COUNT_DURATION))[b"recent"] > 20
 
     run_on_uvloop(test())
 
 
-class Clocks:
-    """Both clocks of a process, and the starts that it works out from them."""
+class SimulatedClocks:
+    """A monotonic and a wall clock, set by hand, and the start times resolved with them."""
 
-    def __init__(self, wall: float = 10_000.0) -> None:
-        self.now, self.wall = 50.0, wall
-        self.starts = StartTimes(COLD, lambda: self.now, lambda: self.wall)
+    def __init__(self, wall_time: float = 10_000.0) -> None:
+        self.now, self.wall_time = 50.0, wall_time
+        self.start_times = StartTimes(WARM_UP, lambda: self.now, lambda: self.wall_time)
 
-    def age(self, born: float, kind: ListKind = ListKind.DELTA, name: str = "s") -> float:
-        """The age of a server that is told with this start."""
-        (server,) = self.starts.resolve((Server(name, started_at=born),), kind)
+    def resolve_age(self, start_time: float, kind: ListKind = ListKind.DELTA, name: str = "s") -> float:
+        """Returns the age (s) of a server listed with this start time (Unix time, s)."""
+        (server,) = self.start_times.resolve((Server(name, started_at=start_time),), kind)
         return self.now - server.started_at
 
 
-COLD = 10.0
+WARM_UP = 10.0  # seconds for which a new server is cold
 
 
-def test_a_start_is_taken_from_the_wall_clock_as_it_is_when_it_is_told():
-    clocks = Clocks()
-    assert clocks.age(9997.0, ListKind.CACHED) == 3.0 and clocks.age(9900.0, ListKind.SNAPSHOT, "t") == 100.0
-    clocks.wall -= 3600.0
+def test_start_time_resolved_by_wall_clock_at_listing():
+    clocks = SimulatedClocks()
+    assert (
+        clocks.resolve_age(9997.0, ListKind.CACHED) == 3.0
+        and clocks.resolve_age(9900.0, ListKind.SNAPSHOT, "t") == 100.0
+    )
+    clocks.wall_time -= 3600.0
     clocks.now += 1.0
-    assert clocks.age(9997.0) == 4.0  # known: the step changes nothing
-    assert clocks.age(clocks.wall - 2.0, name="u") == 2.0
+    assert clocks.resolve_age(9997.0) == 4.0  # already known: the step has no effect
+    assert clocks.resolve_age(clocks.wall_time - 2.0, name="u") == 2.0
 
 
-@pytest.mark.parametrize("born", [10_000.1, 10_008.0, 13_600.0, 6400.0, 9985.0])
-def test_a_start_that_cannot_be_is_now_and_moves_on_with_our_clock(born):
-    clocks = Clocks()
-    clocks.age(0.0, ListKind.SNAPSHOT, "other")
-    assert clocks.age(born, ListKind.DELTA) == 0.0
-    clocks.now += COLD
-    assert clocks.age(born) == COLD
+@pytest.mark.parametrize("start_time", [10_000.1, 10_008.0, 13_600.0, 6400.0, 9985.0])
+def test_impossible_start_time_resolved_as_now(start_time):
+    clocks = SimulatedClocks()
+    clocks.resolve_age(0.0, ListKind.SNAPSHOT, "other")
+    assert clocks.resolve_age(start_time, ListKind.DELTA) == 0.0
+    clocks.now += WARM_UP
+    assert clocks.resolve_age(start_time) == WARM_UP
 
 
-def test_what_was_told_after_a_gap_may_have_started_in_it():
-    clocks = Clocks()
-    clocks.age(0.0, ListKind.SNAPSHOT, "other")
-    clocks.now, clocks.wall = clocks.now + 20.0, clocks.wall + 20.0
-    assert clocks.age(clocks.wall - 19.0, ListKind.SNAPSHOT) == 19.0
+def test_start_between_two_lists_is_accepted():
+    clocks = SimulatedClocks()
+    clocks.resolve_age(0.0, ListKind.SNAPSHOT, "other")
+    clocks.now, clocks.wall_time = clocks.now + 20.0, clocks.wall_time + 20.0
+    assert clocks.resolve_age(clocks.wall_time - 19.0, ListKind.SNAPSHOT) == 19.0
 
 
-def test_a_server_that_comes_back_as_it_was_keeps_its_start():
-    clocks = Clocks()
-    clocks.age(9400.0, ListKind.SNAPSHOT)
-    clocks.age(0.0, ListKind.SNAPSHOT, "other")
+def test_relisted_server_keeps_start_time():
+    clocks = SimulatedClocks()
+    clocks.resolve_age(9400.0, ListKind.SNAPSHOT)
+    clocks.resolve_age(0.0, ListKind.SNAPSHOT, "other")
     clocks.now += 5.0
-    assert clocks.age(9400.0) == 605.0
+    assert clocks.resolve_age(9400.0) == 605.0
 
 
-def test_the_starts_of_servers_that_have_gone_are_bounded():
-    clocks = Clocks()
-    for i in range(3):
-        names = [f"s{i}.{j}" for j in range(2000)]
-        clocks.starts.resolve([Server(name, started_at=9990.0) for name in names], ListKind.SNAPSHOT)
-    clocks.starts.resolve([Server(name, LifecycleState.GONE) for name in names], ListKind.DELTA)
-    assert not clocks.starts.listed and len(clocks.starts.departed) == DEPARTED_MOST
+def test_delisted_start_times_are_bounded():
+    clocks = SimulatedClocks()
+    for generation in range(3):
+        names = [f"s{generation}.{index}" for index in range(2000)]
+        clocks.start_times.resolve([Server(name, started_at=9990.0) for name in names], ListKind.SNAPSHOT)
+    clocks.start_times.resolve([Server(name, LifecycleState.GONE) for name in names], ListKind.DELTA)
+    assert not clocks.start_times.listed and len(clocks.start_times.departed) == DEPARTED_MOST
