--- a/tests/netkit.py
+++ b/tests/netkit.py
@@ -14,9 +14,9 @@
 from test_adapter import RAW_SETTINGS
 
 from thymehinge import interface as api
-from thymehinge.net.config import read
-from thymehinge.net.discovery import HostList, read_list
-from thymehinge.net.driver import Driver, anchored_clock
+from thymehinge.net.config import parse_config
+from thymehinge.net.discovery import HostList, parse_host_list
+from thymehinge.net.driver import Driver, monotonic_unix_clock
 
 HOST = "127.0.0.1"
 CUSTOMER_ID = b"00000000b4d65521"
@@ -56,7 +56,7 @@
         entries.append(
             {"host": name, "dial": dial, "site": "a", "block": 0, "health": health, "share": 1, "born_ms": 0}
         )
-    return read_list({"seq": version, "whole": snapshot, "hosts": entries})
+    return parse_host_list({"seq": version, "whole": snapshot, "hosts": entries})
 
 
 def pack_request(
@@ -107,9 +107,12 @@
     """A gateway on loopback sockets, whose decision module's events are recorded."""
 
     def __init__(self, **overrides: Any) -> None:
-        clock, self.clock_offset = anchored_clock(), 0.0  # seconds by which the gateway's clock is ahead
-        self.driver = Driver(read(raw_config(**overrides), {}), lambda: clock() + self.clock_offset)
-        self.driver.listening = self.driver.clock()
+        clock, self.clock_offset = (
+            monotonic_unix_clock(),
+            0.0,
+        )  # seconds by which the gateway's clock is ahead
+        self.driver = Driver(parse_config(raw_config(**overrides), {}), lambda: clock() + self.clock_offset)
+        self.driver.listening_since = self.driver.clock()
         self.events: asyncio.Queue[api.Event] = asyncio.Queue()
         handle = self.driver.gateway.handle
 
@@ -158,7 +161,7 @@
     async def wait_reusable(self, name: str) -> None:
         """Waits until an idle connection to this server may be used for another request."""
         async with asyncio.timeout(WAIT_TIMEOUT):
-            while not any(c.rested for c in self.driver.servers.pools[name].idle):
+            while not any(c.reusable for c in self.driver.servers.pools[name].idle):
                 await asyncio.sleep(0.001)
 
     def sweep_after(self, seconds: float) -> None:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -34,10 +34,14 @@
 from processkit import start_gateway
 
 from thymehinge.net import clients
-from thymehinge.net.driver import RESERVE, SERVER_PART
+from thymehinge.net.driver import RESERVED_DESCRIPTORS, SERVER_CONNECTION_FRACTION
 
 MAX_SOCKETS = 128  # descriptors of the process, by its rlimit and by its configuration
-MAX_CLIENTS = MAX_SOCKETS - RESERVE - int((MAX_SOCKETS - RESERVE) * SERVER_PART)  # the part for clients
+MAX_CLIENTS = (
+    MAX_SOCKETS
+    - RESERVED_DESCRIPTORS
+    - int((MAX_SOCKETS - RESERVED_DESCRIPTORS) * SERVER_CONNECTION_FRACTION)
+)  # the part for clients
 SILENT_CLIENTS = 3 * MAX_CLIENTS  # connections without a request, more than the gateway accepts
 
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -18,8 +18,8 @@
 from thymehinge.net import call_schedule
 from thymehinge.net import discovery as discovery_module
 from thymehinge.net.call_schedule import CallSchedule
-from thymehinge.net.config import read
-from thymehinge.net.discovery import Discovery, Follower, HostList, follow
+from thymehinge.net.config import parse_config
+from thymehinge.net.discovery import Discovery, HostList, HostWatcher, watch_hosts
 
 
 def collect_lists(answers: list, count: int, max_body_bytes: int = 2**24) -> tuple[list[HostList], list[str]]:
@@ -30,7 +30,7 @@
     async def test() -> None:
         address, calls = await scripted_discovery(answers)
         received: asyncio.Queue[HostList] = asyncio.Queue()
-        task = asyncio.create_task(follow(address, received.put_nowait, max_body_bytes))
+        task = asyncio.create_task(watch_hosts(address, received.put_nowait, max_body_bytes))
         lists.extend([await next_item(received) for _ in range(count)])
         task.cancel()
         with suppress(asyncio.CancelledError):
@@ -46,8 +46,12 @@
     lists, calls = collect_lists(
         [hosts_response(41, SERVER_ENTRY | {"born_ms": 5000}), hosts_response(43, gone, snapshot=False)], 2
     )
-    assert lists[0].whole and lists[0].servers[0].started_at == 5.0 and lists[0].dials == {"s1": (HOST, 1)}
-    assert not lists[1].whole and lists[1].servers[0].state is api.LifecycleState.GONE
+    assert (
+        lists[0].is_snapshot
+        and lists[0].servers[0].started_at == 5.0
+        and lists[0].addresses == {"s1": (HOST, 1)}
+    )
+    assert not lists[1].is_snapshot and lists[1].servers[0].state is api.LifecycleState.GONE
     assert calls[0] == "/discovery/hosts" and calls[1].startswith("/discovery/hosts?since=41&timeout_ms=")
 
 
@@ -93,9 +97,9 @@
 
 def test_silent_watch_followed_by_snapshot(monkeypatch):
     """Guards against missing a drain that a silent watch does not deliver."""
-    monkeypatch.setattr(call_schedule, "WATCH", 0.1)
-    monkeypatch.setattr(call_schedule, "WATCH_LEAST", 0.1)
-    monkeypatch.setattr(call_schedule, "ANSWER", 0.2)
+    monkeypatch.setattr(call_schedule, "WATCH_TIMEOUT", 0.1)
+    monkeypatch.setattr(call_schedule, "MIN_WATCH_TIMEOUT", 0.1)
+    monkeypatch.setattr(call_schedule, "ANSWER_TIMEOUT", 0.2)
     draining = hosts_response(9, SERVER_ENTRY | {"health": "Terminating"})
     lists, calls = collect_lists([hosts_response(1, SERVER_ENTRY), NO_ANSWER, NO_ANSWER, draining], 2)
     assert [server.state for server in lists[1].servers] == [api.LifecycleState.DRAINING]
@@ -108,15 +112,15 @@
     A call fails as "away" (unreachable) or "unusable" (invalid response), `duration` seconds after its
     start, or succeeds at once as "whole" (snapshot) or "watch".
     """
-    delays, now = [], schedule.next_at
+    delays, now = [], schedule.next_call_at
     for outcome in outcomes:
-        schedule.begin(now, watch=outcome == "watch")
+        schedule.start_call(now, is_watch=outcome == "watch")
         if outcome in ("whole", "watch"):
-            schedule.answered(now, 0.0, outcome == "watch")
+            schedule.on_answer(now, 0.0, outcome == "watch")
         else:
-            schedule.failed(now + duration, now, away=outcome == "away")
-            delays.append(schedule.next_at - now - duration)
-        now = schedule.next_at
+            schedule.on_failure(now + duration, now, unreachable=outcome == "away")
+            delays.append(schedule.next_call_at - now - duration)
+        now = schedule.next_call_at
     return delays
 
 
@@ -129,7 +133,7 @@
 
 
 def test_snapshot_delivered_after_mixed_failures(monkeypatch):
-    monkeypatch.setattr(call_schedule, "PAUSE_MOST", 0.1)
+    monkeypatch.setattr(call_schedule, "MAX_RETRY_DELAY", 0.1)
     lists, calls = collect_lists(
         [None, web.Response(status=503), None, web.Response(status=503), hosts_response(1, SERVER_ENTRY)], 1
     )
@@ -161,32 +165,36 @@
 
     def latest_answer(schedule: CallSchedule, failures: int) -> float:
         """Returns the latest time of a valid answer after `failures` + 1 failed calls, the first due now."""
-        now = schedule.next_at
+        now = schedule.next_call_at
         if failures < 0:
-            return now + timing.ANSWER
+            return now + timing.ANSWER_TIMEOUT
         answer_times = []
-        for duration in (0.0, timing.PAUSE, timing.ANSWER, None):
+        for duration in (0.0, timing.MIN_RETRY_DELAY, timing.ANSWER_TIMEOUT, None):
             for away, others in product((True, False), repeat=2):
                 branch = copy.copy(schedule)
-                branch.begin(now, watch=False)
+                branch.start_call(now, is_watch=False)
                 if duration is None:
-                    branch.overdue()
+                    branch.on_overdue()
                 else:
-                    branch.failed(now + duration, now, away, others)
-                    branch.next_at = max(branch.next_at, now + duration)
+                    branch.on_failure(now + duration, now, away, others)
+                    branch.next_call_at = max(branch.next_call_at, now + duration)
                 answer_times.append(latest_answer(branch, failures - 1))
         return max(answer_times)
 
     worst = 0.0
-    for retry_delay in (timing.PAUSE, 0.2, 0.4, 0.8, timing.PAUSE_MOST):
+    for retry_delay in (timing.MIN_RETRY_DELAY, 0.2, 0.4, 0.8, timing.MAX_RETRY_DELAY):
         schedule = CallSchedule(0.0)
-        schedule.pause = retry_delay
-        schedule.answered(0.0, 0.0, watch=False)
-        schedule.begin(schedule.next_at, watch=True)
-        schedule.overdue()
-        worst = max(worst, latest_answer(schedule, timing.FAILURES - 1))
-    assert worst <= timing.TOLD - timing.MARGIN
-    assert timing.FAILURES >= 2 and timing.MARGIN >= 0.4 and timing.PAUSE + timing.ANSWER <= timing.PAUSE_MOST
+        schedule.retry_delay = retry_delay
+        schedule.on_answer(0.0, 0.0, is_watch=False)
+        schedule.start_call(schedule.next_call_at, is_watch=True)
+        schedule.on_overdue()
+        worst = max(worst, latest_answer(schedule, timing.TOLERATED_FAILURES - 1))
+    assert worst <= timing.PROPAGATION_TIME - timing.LAG_MARGIN
+    assert (
+        timing.TOLERATED_FAILURES >= 2
+        and timing.LAG_MARGIN >= 0.4
+        and timing.MIN_RETRY_DELAY + timing.ANSWER_TIMEOUT <= timing.MAX_RETRY_DELAY
+    )
 
 
 ConnectionHandler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
@@ -314,25 +322,29 @@
 def test_faulty_call_does_not_delay_next_call(fault, watching, monkeypatch, caplog):
     """Guards the propagation time: the next call starts when due, even if the faulty call has not ended."""
     timeouts = (
-        {"WATCH": 0.2, "ANSWER": 0.1} if fault in UNENDING_FAULTS else {"WATCH": 600.0, "ANSWER": 600.0}
+        {"WATCH_TIMEOUT": 0.2, "ANSWER_TIMEOUT": 0.1}
+        if fault in UNENDING_FAULTS
+        else {"WATCH_TIMEOUT": 600.0, "ANSWER_TIMEOUT": 600.0}
     )
-    for name, value in (timeouts | {"TOLD": 2000.0, "PAUSE": 0.01, "PAUSE_MOST": 0.02}).items():
+    for name, value in (
+        timeouts | {"PROPAGATION_TIME": 2000.0, "MIN_RETRY_DELAY": 0.01, "MAX_RETRY_DELAY": 0.02}
+    ).items():
         monkeypatch.setattr(call_schedule, name, value)
     started_at: list[float] = []  # loop time of the start of each call
-    fetch = discovery_module.ask
+    fetch = discovery_module.fetch_hosts
 
     async def timed_fetch(*args):
         started_at.append(asyncio.get_running_loop().time())
         return await fetch(*args)
 
-    monkeypatch.setattr(discovery_module, "ask", timed_fetch)
+    monkeypatch.setattr(discovery_module, "fetch_hosts", timed_fetch)
 
     async def test() -> None:
         preceding = [snapshot_handler(1, SERVER_ENTRY)] if watching else []
         draining = snapshot_handler(3, SERVER_ENTRY | {"health": "Terminating"}, content_length=False)
         address, calls = await raw_scripted_discovery([*preceding, fault, draining])
         received: asyncio.Queue[HostList] = asyncio.Queue()
-        task = asyncio.create_task(follow(address, received.put_nowait, 2**20))
+        task = asyncio.create_task(watch_hosts(address, received.put_nowait, 2**20))
         while [server.state for server in (await next_item(received)).servers] != [
             api.LifecycleState.DRAINING
         ]:
@@ -351,7 +363,7 @@
 
 def test_repeated_watch_is_overdue_as_one_call(monkeypatch):
     """Guards the propagation time: repeating a call after a reset does not extend its timeout."""
-    for name, value in {"WATCH": 0.2, "ANSWER": 0.3, "PAUSE": 0.01}.items():
+    for name, value in {"WATCH_TIMEOUT": 0.2, "ANSWER_TIMEOUT": 0.3, "MIN_RETRY_DELAY": 0.01}.items():
         monkeypatch.setattr(call_schedule, name, value)
     called_at: list[float] = []
 
@@ -375,7 +387,7 @@
         ]
         address, calls = await raw_scripted_discovery([timed(handler) for handler in script])
         received: asyncio.Queue[HostList] = asyncio.Queue()
-        task = asyncio.create_task(follow(address, received.put_nowait, 2**20))
+        task = asyncio.create_task(watch_hosts(address, received.put_nowait, 2**20))
         assert [(await next_item(received)).version, (await next_item(received)).version] == [1, 3]
         task.cancel()
         with suppress(asyncio.CancelledError):
@@ -389,18 +401,23 @@
 @pytest.mark.parametrize("known_versions", [[], [5]])
 def test_hanging_connect_does_not_delay_next_call(known_versions, monkeypatch, caplog):
     """Guards the propagation time when connects hang, for snapshot calls and for watches."""
-    for name, value in {"WATCH": 0.1, "WATCH_LEAST": 0.1, "ANSWER": 0.1, "OVERDUE_MOST": 0.1}.items():
+    for name, value in {
+        "WATCH_TIMEOUT": 0.1,
+        "MIN_WATCH_TIMEOUT": 0.1,
+        "ANSWER_TIMEOUT": 0.1,
+        "MAX_OVERDUE_TIMEOUT": 0.1,
+    }.items():
         monkeypatch.setattr(call_schedule, name, value)
 
     async def test() -> None:
         with UnresponsiveListener() as address:
-            watcher = Follower(address, lambda hosts: None, 2**20)
+            watcher = HostWatcher(address, lambda hosts: None, 2**20)
             watcher.version = next(iter(known_versions), None)
             task = asyncio.create_task(watcher.run())
             async with asyncio.timeout(WAIT_TIMEOUT):
                 while caplog.text.count("no answer for") < 5:
                     await asyncio.sleep(0.01)
-            assert 1 < len(watcher.calls) <= call_schedule.CALLS_MOST
+            assert 1 < len(watcher.calls) <= call_schedule.MAX_CALLS
             task.cancel()
             watcher.close()
 
@@ -413,7 +430,7 @@
 
     The size limit is the body's length less `shortfall` bytes.
     """
-    monkeypatch.setattr(call_schedule, "ANSWER", 600.0)
+    monkeypatch.setattr(call_schedule, "ANSWER_TIMEOUT", 600.0)
     entries = [SERVER_ENTRY | {"host": f"s{i}"} for i in range(5000)]
     length = len(encode_snapshot(1, entries))
 
@@ -426,7 +443,7 @@
             ]
         )
         received: asyncio.Queue[HostList] = asyncio.Queue()
-        task = asyncio.create_task(follow(address, received.put_nowait, length - shortfall))
+        task = asyncio.create_task(watch_hosts(address, received.put_nowait, length - shortfall))
         first = await next_item(received)
         assert (first.version, len(first.servers)) == ((2, 1) if shortfall else (1, 5000))
         task.cancel()
@@ -438,9 +455,9 @@
 
 
 def test_size_limit_is_fraction_of_memory():
-    config = read(raw_config(limits={"memory_mb": 96, "sockets": 256}), {})
-    assert config.memory == 96 * 2**20
-    assert Discovery(lambda hosts: None, config.memory).size_most == 8 * 2**20
+    config = parse_config(raw_config(limits={"memory_mb": 96, "sockets": 256}), {})
+    assert config.memory_bytes == 96 * 2**20
+    assert Discovery(lambda hosts: None, config.memory_bytes).max_body_bytes == 8 * 2**20
 
 
 def test_address_change_cancels_watch():
@@ -451,12 +468,12 @@
         new_address, new_calls = await scripted_discovery([hosts_response(7, SERVER_ENTRY)])
         received: asyncio.Queue[HostList] = asyncio.Queue()
         discovery = Discovery(received.put_nowait, 2**27)
-        discovery.move(old_address)
+        discovery.set_address(old_address)
         assert (await next_item(received)).version == 41
         async with asyncio.timeout(10):
             while len(old_calls) < 2:  # the watch is pending and is never answered
                 await asyncio.sleep(0)
-            discovery.move(new_address)
+            discovery.set_address(new_address)
             assert (await received.get()).version == 7
         assert new_calls[0] == "/discovery/hosts"
         discovery.stop()
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -27,7 +27,7 @@
 @pytest.fixture
 def short_accept_period(monkeypatch):
     """Shortens the period in which a draining process still accepts connections."""
-    monkeypatch.setattr(program, "ACCEPT", 0.05)
+    monkeypatch.setattr(program, "DRAIN_ACCEPT_PERIOD", 0.05)
 
 
 def test_drain_answers_clients_in_backlog(short_accept_period):
@@ -107,7 +107,7 @@
 
     async def test() -> None:
         harness, _ = await harness_with_server()
-        harness.driver.end = harness.driver.clock() + 1.0
+        harness.driver.drain_deadline = harness.driver.clock() + 1.0
         client = await harness.connect_client()
         client.write(pack_request(fields=b"c=lookup,t=village,d=9000"))
         assert (await harness.wait_for_event(api.Request)).time_left <= 1.0
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -39,8 +39,8 @@
             StubExchange(), 0, "s1", harness.driver.clock(), harness.driver.clock() + WAIT_TIMEOUT
         )
         outcomes = []
-        harness.driver.servers.report = lambda a, result, report, value: outcomes.append(value)
-        pool.start(attempt)
+        harness.driver.servers.on_outcome = lambda a, result, report, value: outcomes.append(value)
+        pool.start_attempt(attempt)
         assert attempt.connection is not connection
         new_server = await next_item(connections)
         await new_server.read()
@@ -92,20 +92,20 @@
     async def test() -> None:
         harness, connections = await harness_with_server()
         outcomes = []
-        harness.driver.servers.report = lambda a, result, report, value: outcomes.append(result)
+        harness.driver.servers.on_outcome = lambda a, result, report, value: outcomes.append(result)
         large_exchange = StubExchange()
         # more than the kernel buffers without a reader
         large_exchange.encode_command = lambda timeout_ms: b"x" * 2**24
         attempt = Attempt(
             large_exchange, 0, "s1", harness.driver.clock(), harness.driver.clock() + WAIT_TIMEOUT
         )
-        harness.driver.servers.start(attempt)
+        harness.driver.servers.start_attempt(attempt)
         await next_item(connections)
         async with asyncio.timeout(WAIT_TIMEOUT):
             while attempt.connection is None:
                 await asyncio.sleep(0)
-        assert attempt.connection.unwritten
-        harness.driver.servers.give_up(attempt, Result.TIMEOUT)
+        assert attempt.connection.write_pending
+        harness.driver.servers.abort_attempt(attempt, Result.TIMEOUT)
         assert outcomes == [Result.CONNECT_FAILED]
 
     run_on_uvloop(test())
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -98,8 +98,8 @@
         client.close()
         (attempt,) = exchange.attempts
         # as if the rejection had been read before the close
-        harness.driver.servers.give_up(attempt, api.Result.REJECTED)
-        assert not any(a.connection or a.out for a in exchange.attempts)
+        harness.driver.servers.abort_attempt(attempt, api.Result.REJECTED)
+        assert not any(a.connection or a.in_flight for a in exchange.attempts)
         assert not harness.driver.exchanges and not harness.driver.gateway.jobs
         assert await server.wait_closed() and connections.empty()
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -151,7 +151,7 @@
         server, _ = await accept
         async with asyncio.timeout(5):
             while not (
-                pool.count
+                pool.open_connections
                 and any(
                     attempt.connection
                     for exchange in harness.driver.exchanges.values()
@@ -192,7 +192,7 @@
         await harness.wait_for_event(api.ClientGone, request_id=1)
         assert await server.wait_closed()
         assert (await harness.wait_for_event(api.Outcome)).result is Result.CANCELLED
-        assert not harness.driver.exchanges and not harness.driver.servers.pools["s1"].count
+        assert not harness.driver.exchanges and not harness.driver.servers.pools["s1"].open_connections
 
     run_on_uvloop(test())
 
@@ -325,7 +325,7 @@
                 client.write(pack_request())
         assert connections.empty()
         await harness.wait_reusable("s1")
-        harness.driver.servers.keep = 0.0  # no idle connection is young enough for reuse
+        harness.driver.servers.idle_limit = 0.0  # no idle connection is young enough for reuse
         client.write(pack_request())
         new_server = await next_item(connections)
         assert await server.wait_closed()
@@ -338,12 +338,12 @@
 
 def test_stale_reset_lowers_idle_limit(monkeypatch):
     """Guards against further resets by a server that closes idle connections early."""
-    monkeypatch.setattr(server_connection, "STALE", WAIT_TIMEOUT)
+    monkeypatch.setattr(server_connection, "STALE_RESET_WINDOW", WAIT_TIMEOUT)
 
     async def test() -> None:
         harness, connections = await harness_with_server()
         client, servers = await harness.connect_client(), harness.driver.servers
-        initial_limit = servers.keep
+        initial_limit = servers.idle_limit
         client.write(pack_request())
         server = await next_item(connections)
         await server.read()
@@ -356,10 +356,10 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         server.writer.transport.abort()
         assert (await harness.wait_for_event(api.Outcome, result=Result.RESET)).server == "s1"
-        assert servers.keep < 1.0 < initial_limit
+        assert servers.idle_limit < 1.0 < initial_limit
         for _ in range(400):
             servers.sweep()
-        assert servers.keep == initial_limit
+        assert servers.idle_limit == initial_limit
 
     run_on_uvloop(test())
 
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -30,9 +30,9 @@
 from processkit import start_gateway
 
 from thymehinge import interface as api
-from thymehinge.net.config import read
-from thymehinge.net.discovery import read_list
-from thymehinge.net.driver import FIRST_LIST
+from thymehinge.net.config import parse_config
+from thymehinge.net.discovery import parse_host_list
+from thymehinge.net.driver import FIRST_LIST_TIMEOUT
 
 
 def test_datagrams_identified_by_sender_address():
@@ -45,13 +45,13 @@
         gateway_address = transport.get_extra_info("sockname")
         peer, stranger = (socket.socket(type=socket.SOCK_DGRAM) for _ in range(2))
         peer.bind(("127.0.0.2", 0))
-        peers.numbers = {peer.getsockname(): 1}
+        peers.peer_indices = {peer.getsockname(): 1}
         stranger.sendto(b"stranger", gateway_address)
         peer.sendto(b"x" * 257, gateway_address)
         peer.sendto(b"\xff\x00 no message of ours", gateway_address)
         assert (await harness.wait_for_event(api.PeerMessage)).body == b"\xff\x00 no message of ours"
-        peers.peers = (gateway_address, peer.getsockname())
-        peers.tell(b"hello", 1)
+        peers.addresses = (gateway_address, peer.getsockname())
+        peers.send(b"hello", 1)
         peer.settimeout(5)
         assert await asyncio.to_thread(peer.recv, 300) == b"hello"
         peer.close(), stranger.close()
@@ -307,7 +307,7 @@
 
     async def test() -> None:
         harness = GatewayHarness(known=known)
-        listening_since = harness.driver.listening
+        listening_since = harness.driver.listening_since
 
         async def ping(seconds: float) -> bool:
             harness.driver.clock = lambda: listening_since + seconds
@@ -315,9 +315,13 @@
             client.write(PING)
             return await client.read() == b"PONG"
 
-        assert not await ping(0.0) and not await ping(FIRST_LIST - 0.01) and await ping(FIRST_LIST)
+        assert (
+            not await ping(0.0)
+            and not await ping(FIRST_LIST_TIMEOUT - 0.01)
+            and await ping(FIRST_LIST_TIMEOUT)
+        )
         assert not await ping(0.1)
-        harness.driver.on_list(read_list({"seq": 2, "whole": True, "hosts": [SERVER_ENTRY]}))
+        harness.driver.on_list(parse_host_list({"seq": 2, "whole": True, "hosts": [SERVER_ENTRY]}))
         assert await ping(0.1)
 
     run_on_uvloop(test())
@@ -345,5 +349,5 @@
 
 
 def test_environment_overrides_config_file():
-    config = read(raw_config(), {"EDGE_LISTEN": "127.0.0.9:7", "EDGE_DISCOVERY": "127.0.0.9:8"})
+    config = parse_config(raw_config(), {"EDGE_LISTEN": "127.0.0.9:7", "EDGE_DISCOVERY": "127.0.0.9:8"})
     assert config.listen == ("127.0.0.9", 7) and config.discovery == "127.0.0.9:8"
--- a/tests/test_real.py
+++ b/tests/test_real.py
@@ -18,7 +18,7 @@
 
 from thymehinge.emulator.gateway_process import DEFAULT_SETTINGS, GatewayError, GatewayProcess, Prober
 from thymehinge.emulator.http_discovery import HostTable, HttpDiscovery
-from thymehinge.net.discovery import HostList, follow, read_host
+from thymehinge.net.discovery import HostList, parse_host, watch_hosts
 
 UNREACHABLE = "127.0.0.1:1"
 
@@ -102,14 +102,14 @@
     applied_versions: asyncio.Queue[int] = asyncio.Queue()
 
     def apply_list(hosts: HostList) -> None:
-        if hosts.whole:
+        if hosts.is_snapshot:
             servers.clear()
         for server in hosts.servers:
             servers[server.name] = server
         applied_versions.put_nowait(hosts.version)
 
     async def test() -> None:
-        task = asyncio.create_task(follow(discovery.address, apply_list, 2**24))
+        task = asyncio.create_task(watch_hosts(discovery.address, apply_list, 2**24))
         await next_item(applied_versions)
         for _ in range(12):
             as_snapshot = rng.random() < 0.2
@@ -123,7 +123,7 @@
 
     with HttpDiscovery(HostTable(20, seed)) as discovery:
         run_on_uvloop(test())
-        listed = [read_host(entry)[0] for entry in discovery.table.entries.values()]
+        listed = [parse_host(entry)[0] for entry in discovery.table.entries.values()]
     assert {n: s for n, s in servers.items() if s.state.name != "GONE"} == {s.name: s for s in listed}
 
 
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -172,11 +172,11 @@
         address, connections = await harness.start_server()
         harness.driver.on_list(host_list(s1=address))
         outcomes: asyncio.Queue[Result] = asyncio.Queue()
-        harness.driver.servers.report = lambda a, result, report, value: outcomes.put_nowait(result)
+        harness.driver.servers.on_outcome = lambda a, result, report, value: outcomes.put_nowait(result)
         large_request = StubExchange()
         large_request.encode_command = lambda wait_ms: b"x" * 2**24  # more than the socket buffers hold
         attempt = Attempt(large_request, 0, "s1", harness.driver.clock(), harness.driver.clock() + 60.0)
-        harness.driver.servers.start(attempt)
+        harness.driver.servers.start_attempt(attempt)
         await next_item(connections)
         assert await next_item(outcomes) is Result.CONNECT_FAILED
 
--- a/tests/test_slow_discovery.py
+++ b/tests/test_slow_discovery.py
@@ -10,7 +10,7 @@
 from netkit import run_on_uvloop
 
 from thymehinge import interface as api
-from thymehinge.net.discovery import HostList, follow
+from thymehinge.net.discovery import HostList, watch_hosts
 
 PROPAGATION_TIME = 6.0  # seconds within which a change must reach the gateway
 TIMING_SLACK = 0.2  # seconds for scheduling delays, since all scenarios run at once
@@ -24,7 +24,7 @@
     """
     discovery = FakeDiscovery([SERVER_ENTRY], answer_delay)
     received: asyncio.Queue[HostList] = asyncio.Queue()
-    task = asyncio.create_task(follow(await discovery.listen(), received.put_nowait, 2**20))
+    task = asyncio.create_task(watch_hosts(await discovery.listen(), received.put_nowait, 2**20))
     try:
         async with asyncio.timeout(10.0):
             await received.get()
@@ -91,7 +91,7 @@
     async def test() -> None:
         discovery, started_at = FakeDiscovery([SERVER_ENTRY], 2.0), time.monotonic()
         received: asyncio.Queue[HostList] = asyncio.Queue()
-        task = asyncio.create_task(follow(await discovery.listen(), received.put_nowait, 2**20))
+        task = asyncio.create_task(watch_hosts(await discovery.listen(), received.put_nowait, 2**20))
         async with asyncio.timeout(10.0):
             await received.get()
         assert time.monotonic() - started_at < 4.0
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -23,7 +23,7 @@
 from test_descriptors import TableServer
 
 from thymehinge.interface import LifecycleState, ListKind, Server
-from thymehinge.net.start_times import DEPARTED_MOST, StartTimes
+from thymehinge.net.start_times import MAX_DELISTED, StartTimes
 
 HOUR = 3600.0  # seconds
 ANSWER_DELAY = 0.02  # seconds; long enough that load is spread over two servers
@@ -198,4 +198,4 @@
         names = [f"s{generation}.{index}" for index in range(2000)]
         clocks.start_times.resolve([Server(name, started_at=9990.0) for name in names], ListKind.SNAPSHOT)
     clocks.start_times.resolve([Server(name, LifecycleState.GONE) for name in names], ListKind.DELTA)
-    assert not clocks.start_times.listed and len(clocks.start_times.departed) == DEPARTED_MOST
+    assert not clocks.start_times.listed and len(clocks.start_times.delisted) == MAX_DELISTED
--- a/thymehinge/__main__.py
+++ b/thymehinge/__main__.py
@@ -1,4 +1,4 @@
-"""One real gateway: start, signals and the exit code."""
+"""The gateway program: start, signals, drain and exit code."""
 
 from __future__ import annotations
 
@@ -14,59 +14,66 @@
 
 import uvloop
 
-from thymehinge.net.config import Address, Config, ConfigError, load
+from thymehinge.net.config import Address, Config, ConfigError, load_config
 from thymehinge.net.discovery import Discovery
-from thymehinge.net.driver import Driver, anchored_clock
-
-BACKLOG = 1024
-ACCEPT = 0.45  # s after SIGTERM for which clients still connect, by protocol, and a little more
-KILL, KILL_DEADLINE, KILL_MARGIN = 0.7, 3.0, 0.3  # s from SIGTERM to SIGKILL beside the longest deadline
-DRAIN_LOOK = 0.01  # s between looks at who is left while draining
-SIGNALS = signal.SIGTERM, signal.SIGINT, signal.SIGHUP  # that a running gateway obeys
-START_MOST = 20.0  # s for which a start is tried again: after 30 s without readiness it counts as failed
-START_PAUSE = 0.05  # s between two tries of a start
-RELOAD_PAUSE = 0.1  # s between two tries of a reload
-GIVE_UP_AT = "THYMEHINGE_GIVE_UP_AT"  # variable: when a program that is tried anew gives up (s, monotonic)
+from thymehinge.net.driver import Driver, monotonic_unix_clock
+
+LISTEN_BACKLOG = 1024
+DRAIN_ACCEPT_PERIOD = 0.45  # seconds after SIGTERM in which clients may still connect, plus a small margin
+KILL_DELAY = 0.7  # seconds from SIGTERM to SIGKILL, in addition to the longest timeout of a request
+MAX_KILL_TIMEOUT = 3.0  # seconds; limit up to which that timeout is added
+KILL_MARGIN = 0.3  # seconds before SIGKILL by which all requests are answered
+DRAIN_POLL_INTERVAL = 0.01  # seconds
+HANDLED_SIGNALS = signal.SIGTERM, signal.SIGINT, signal.SIGHUP
+STARTUP_TIMEOUT = 20.0  # seconds for which a start is retried; after 30 s without readiness it has failed
+STARTUP_RETRY_DELAY = 0.05  # seconds
+RELOAD_RETRY_DELAY = 0.1  # seconds
+STARTUP_DEADLINE_VARIABLE = "THYMEHINGE_GIVE_UP_AT"  # time of the monotonic clock in seconds
 
 log = logging.getLogger(__name__)
 
 
-def execute_anew(give_up_at: float) -> None:
-    """Replace this process by one that starts from nothing, under the same number, if the system lets us."""
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # its handler does not outlast this
+def restart_process(startup_deadline: float) -> None:
+    """Replace this process by a new program with the same process id; returns if the system refuses."""
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # a handler would be reset to the default, which terminates
     with suppress(OSError):
-        os.execve(sys.executable, sys.orig_argv, {**os.environ, GIVE_UP_AT: str(give_up_at)})
+        os.execve(
+            sys.executable, sys.orig_argv, {**os.environ, STARTUP_DEADLINE_VARIABLE: str(startup_deadline)}
+        )
 
 
 class Program:
-    """One gateway from its start to its end."""
+    """Runs one gateway from its start to its exit code."""
 
     def __init__(self) -> None:
         self.serving = False
-        self.reload_due = False  # SIGHUP came before there was anything to reload
+        self.reload_requested = False  # by a SIGHUP during the start
 
     def run(self) -> int:
-        """Start, again and again while what fails may pass, and serve; the exit code.
+        """Start, retrying after transient errors, serve, and return the exit code.
 
-        A loop that could not open its own sockets can't be run again nor closed: a new program tries anew.
+        A retry replaces the process: an event loop that failed to open its own descriptors can neither be
+        used again nor closed.
         """
-        give_up_at = float(os.environ.pop(GIVE_UP_AT, time.monotonic() + START_MOST))
+        startup_deadline = float(
+            os.environ.pop(STARTUP_DEADLINE_VARIABLE, time.monotonic() + STARTUP_TIMEOUT)
+        )
         while True:
-            signal.signal(signal.SIGHUP, self.note_reload)
+            signal.signal(signal.SIGHUP, self.request_reload)
             try:
                 self.run_once()
                 return 0
             except ConfigError as error:
-                if not error.passing or time.monotonic() >= give_up_at:
+                if not error.transient or time.monotonic() >= startup_deadline:
                     print(f"thymehinge: {error}", file=sys.stderr)
                     return 2
-                log.warning("start: %s; trying again", error)
-            time.sleep(START_PAUSE)
-            execute_anew(give_up_at)
+                log.warning("start: %s; retrying", error)
+            time.sleep(STARTUP_RETRY_DELAY)
+            restart_process(startup_deadline)
 
     def run_once(self) -> None:
-        """Read the configuration and serve; ConfigError where the start fails."""
-        config = load(os.environ)
+        """Read the configuration and serve; raises ConfigError if the start fails."""
+        config = load_config(os.environ)
         runner = asyncio.Runner(loop_factory=uvloop.new_event_loop)
         try:
             runner.run(self.serve(config))
@@ -75,89 +82,95 @@
                 raise
             raise ConfigError(f"event loop: {error.strerror or error}", error) from None
         finally:
-            with suppress(OSError, RuntimeError):  # see `run`
+            with suppress(OSError, RuntimeError):  # the event loop may not have started, see `run`
                 runner.close()
 
-    def note_reload(self, *_: object) -> None:
-        self.reload_due = True
+    def request_reload(self, *_: object) -> None:
+        self.reload_requested = True
 
     async def serve(self, config: Config) -> None:
-        """Run until SIGTERM, then finish what is held."""
+        """Serve until SIGTERM or SIGINT, then drain."""
         loop, stop = asyncio.get_running_loop(), asyncio.Event()
-        driver = Driver(config, anchored_clock())
-        discovery = Discovery(driver.on_list, config.memory)
+        driver = Driver(config, monotonic_unix_clock())
+        discovery = Discovery(driver.on_list, config.memory_bytes)
         await open_sockets(driver, config)
         self.serving = True
         loop.add_signal_handler(signal.SIGTERM, stop.set)
         loop.add_signal_handler(signal.SIGINT, stop.set)
-        loop.add_signal_handler(signal.SIGHUP, reload, discovery)
-        discovery.move(config.discovery)
-        if self.reload_due:
-            reload(discovery)
-        driver.listening = driver.clock()
-        log.info("gateway %s listens at %s:%d", config.name or "without a name", *config.listen)
+        loop.add_signal_handler(signal.SIGHUP, reload_discovery, discovery)
+        discovery.set_address(config.discovery)
+        if self.reload_requested:
+            reload_discovery(discovery)
+        driver.listening_since = driver.clock()
+        log.info("gateway %s listening on %s:%d", config.name or "(unnamed)", *config.listen)
         gc.collect()
-        gc.freeze()  # what the start made stays; a collection then looks at little and pauses little
+        gc.freeze()  # objects from the start live until the end; skipping them shortens collections
         await stop.wait()
         await drain(driver)
         discovery.stop()
-        signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)  # the loop's end takes its handlers away
+        signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)  # closing the loop removes its handlers
 
 
 async def open_sockets(driver: Driver, config: Config) -> None:
-    """Listen for peers, then for clients: who has connected must not be turned away by a start that fails."""
+    """Listen for peers, then for clients; raises ConfigError if that fails.
+
+    Listening for clients comes last, so that no client can connect to a start that fails.
+    """
     loop = asyncio.get_running_loop()
     try:
         if config.peer_listen is not None:
-            datagrams = socket.socket(family(config.peer_listen), socket.SOCK_DGRAM)
+            datagrams = socket.socket(address_family(config.peer_listen), socket.SOCK_DGRAM)
             datagrams.bind(config.peer_listen)
             await loop.create_datagram_endpoint(lambda: driver.peers, sock=datagrams)
-        listener = socket.create_server(config.listen, family=family(config.listen), backlog=BACKLOG)
+        listener = socket.create_server(
+            config.listen, family=address_family(config.listen), backlog=LISTEN_BACKLOG
+        )
         driver.clients.listen(listener)
     except OSError as error:
         raise ConfigError(f"listen or peer_listen: {error.strerror or error}", error) from None
 
 
-def family(address: Address) -> socket.AddressFamily:
+def address_family(address: Address) -> socket.AddressFamily:
     return socket.AF_INET6 if ":" in address[0] else socket.AF_INET
 
 
-def reload(discovery: Discovery) -> None:
-    """Follow the discovery that the file names now; requests, pools and the list stay as they are.
+def reload_discovery(discovery: Discovery) -> None:
+    """Switch to the discovery address in the configuration file; nothing else is reloaded.
 
-    The environment names the addresses of the start, so it does not win here. Where the file can't be opened
-    for a moment it is tried again, lest discovery be left behind.
+    EDGE_DISCOVERY is ignored, because it holds the address of the start. If a transient error prevents
+    reading the file, the reload is retried.
     """
     try:
-        config = load({"EDGE_CONFIG": os.environ["EDGE_CONFIG"]})
+        config = load_config({"EDGE_CONFIG": os.environ["EDGE_CONFIG"]})
     except ConfigError as error:
-        log.error("reload: %s; the old configuration stays%s", error, " for now" * error.passing)
-        if error.passing:
-            asyncio.get_running_loop().call_later(RELOAD_PAUSE, reload, discovery)
+        log.error("reload: %s; the old configuration stays%s", error, " until a retry" * error.transient)
+        if error.transient:
+            asyncio.get_running_loop().call_later(RELOAD_RETRY_DELAY, reload_discovery, discovery)
         return None
     log.info("reload: discovery at %s", config.discovery)
-    return discovery.move(config.discovery)
+    return discovery.set_address(config.discovery)
 
 
 async def drain(driver: Driver) -> None:
-    """Accept on for a moment, then close connections between requests and end before the kill.
+    """Finish pending requests and close all client connections before SIGKILL.
 
-    Clients ask on every connection that stays open. What comes now has until the end, and what is still in
-    hand then is answered; what comes after that is refused at once, until the last answers have left.
+    New connections are accepted for a while, and clients may send requests on any open connection. Requests
+    that are pending at the drain deadline are answered then; later ones are refused, until the last replies
+    have been sent.
     """
-    longest = driver.gateway.settings.longest_timeout
-    kill = driver.clock() + min(longest, KILL_DEADLINE) + KILL
-    driver.end = kill - KILL_MARGIN
-    await asyncio.sleep(ACCEPT)
-    while not driver.clients.drain() and driver.clock() < driver.end:
-        await asyncio.sleep(DRAIN_LOOK)
+    longest_timeout = driver.gateway.settings.longest_timeout
+    kill_at = driver.clock() + min(longest_timeout, MAX_KILL_TIMEOUT) + KILL_DELAY
+    driver.drain_deadline = kill_at - KILL_MARGIN
+    await asyncio.sleep(DRAIN_ACCEPT_PERIOD)
+    while not driver.clients.drain() and driver.clock() < driver.drain_deadline:
+        await asyncio.sleep(DRAIN_POLL_INTERVAL)
     driver.abandon_all()
-    while not driver.clients.drain() and driver.clock() < kill - KILL_MARGIN / 3:
-        await asyncio.sleep(DRAIN_LOOK)
+    while not driver.clients.drain() and driver.clock() < kill_at - KILL_MARGIN / 3:
+        await asyncio.sleep(DRAIN_POLL_INTERVAL)
 
 
 def main() -> int:
-    """Start from the environment; 2 where the configuration is no good."""
+    """Run the gateway; the exit code is 2 for a bad configuration."""
     logging.basicConfig(level=logging.INFO, stream=sys.stderr, format="%(asctime)s %(levelname)s %(message)s")
     return Program().run()
 
--- a/thymehinge/emulator/entries.py
+++ b/thymehinge/emulator/entries.py
@@ -25,7 +25,7 @@
 from thymehinge.emulator.slopes import Slope
 from thymehinge.interface import ListKind
 from thymehinge.net.config import Config
-from thymehinge.net.discovery import HostList, read_list
+from thymehinge.net.discovery import HostList, parse_host_list
 from thymehinge.net.driver import Driver
 from thymehinge.net.exchange import READ_COMMAND, AcceptedValues, Exchange
 from thymehinge.net.servers import Servers
@@ -95,7 +95,7 @@
 
 def host_list(count: int, rng: random.Random, first: int = 0) -> HostList:
     """Return a list of servers that have passed their slow start."""
-    return read_list({"seq": 1, "whole": True, "hosts": host_entries(count, rng, first)})
+    return parse_host_list({"seq": 1, "whole": True, "hosts": host_entries(count, rng, first)})
 
 
 # Memory.
@@ -155,7 +155,7 @@
 
     def add_entries(first: int, last: int) -> None:
         hosts = host_list(last - first, rng, first)
-        servers.add(hosts.servers, hosts.dials)
+        servers.add(hosts.servers, hosts.addresses)
         gateway.handle(  # holds the servers' names, as it does in a gateway process
             START_TIME, api.ServerList(ListKind.DELTA, 1, hosts.servers)
         )
@@ -240,7 +240,7 @@
         NO_QUOTA_SETTINGS,
     )
     driver, accepted_values = Driver(config, clock), AcceptedValues(NO_QUOTA_SETTINGS)
-    driver.servers.start = lambda attempt: None
+    driver.servers.start_attempt = lambda attempt: None
     client = SimpleNamespace()  # nothing is written to it, as no request is answered
 
     def add_entries(first: int, last: int) -> None:
@@ -369,7 +369,7 @@
     for size in (FEW_ENTRIES, MANY_ENTRIES):
         entries = host_entries(size, rng)
         raw = {"seq": 1, "whole": True, "hosts": entries}
-        hosts, gateway = read_list(raw), Gateway(SINGLE_GATEWAY_SETTINGS, seed, START_TIME)
+        hosts, gateway = parse_host_list(raw), Gateway(SINGLE_GATEWAY_SETTINGS, seed, START_TIME)
         snapshot, delta = (
             api.ServerList(kind, 2, servers)
             for kind, servers in ((ListKind.SNAPSHOT, hosts.servers), (ListKind.DELTA, hosts.servers[:1]))
@@ -388,7 +388,7 @@
             ),
             f"list {size}": (partial(gateway.handle, START_TIME, snapshot), repeats),
             f"change {size}": (partial(gateway.handle, START_TIME, delta), 5 * CALLS_PER_ROUND),
-            f"read {size}": (partial(read_list, raw), repeats),
+            f"read {size}": (partial(parse_host_list, raw), repeats),
         }
     calls["ask"] = partial(QuotaOwner(seed).receive_quota_request, 0.0), CALLS_PER_ROUND
     if not small:
--- a/thymehinge/net/call_schedule.py
+++ b/thymehinge/net/call_schedule.py
@@ -1,68 +1,80 @@
-"""When the next call to discovery is due. No clock and no I/O: times (s) come with each word.
+"""When the next call to discovery is due. No clock and no I/O: callers pass the time, in seconds.
 
-A change counts as told 6 s after discovery had it and could be reached, whatever has failed since. In the
-worst order a watch opened just then falls silent, FAILURES calls after it fail as late as they may, and a
-good answer comes last: GAP + (WATCH + ANSWER) + FAILURES x PAUSE_MOST + ANSWER = 5.42 s. Where discovery is
-slow, watches wait less, so that one that falls silent and a slow answer after it fit in.
+A gateway is expected to know of a change within PROPAGATION_TIME, despite failures, once discovery has the
+change and is reachable. In the worst case a watch that has just been opened gets no answer, then
+TOLERATED_FAILURES calls fail as late as possible, then one succeeds: WATCH_DELAY + (WATCH_TIMEOUT +
+ANSWER_TIMEOUT) + TOLERATED_FAILURES x MAX_RETRY_DELAY + ANSWER_TIMEOUT = 5.42 s. If discovery is slow,
+watches are shortened so that a watch without an answer and a slow answer after it still fit.
 """
 
 from __future__ import annotations
 
-TOLD = 6.0  # s after which a change counts as told
-FAILURES = 2  # calls in a row that may fail after the one that was out; a third that fails late does not fit
-MARGIN = 0.4  # s of TOLD kept for our own lag: reading four answers, and timers that are late
-WATCH, WATCH_LEAST = 2.0, 0.2  # s that a watch waits: what it holds back counts as told only so much later
-ANSWER = 0.7  # s beyond that after which a call is overdue, from the connect to the last byte
-ANSWER_MOST = 2.4  # s of it at most, where discovery is known to be slow: it leaves time for a second call
-SLOW = 1.5  # times what its last answers took that a slow discovery may take
-FADE = 0.7  # of what the answer before took that is still reckoned with
-OVERDUE_GROWTH, OVERDUE_MOST = 1.25, 1.2  # factor from one overdue call to the next; s between them at most
-GAP = 0.02  # s between an answer and the next watch, lest one that never waits takes the processor
-PAUSE = 0.1  # s at least between a failed call and the next, under the 200 ms that keep a watch
-PAUSE_MOST = 1.0  # s from call to call while what answers can't be used: it may be overbooked
-CALLS_MOST = 3  # calls without an answer at once: more would crowd a discovery that is slow
-SLOWEST = 20.0  # s after which a call is given up for good
+PROPAGATION_TIME = 6.0  # seconds after which gateways are expected to know of a change
+TOLERATED_FAILURES = 2  # successive failures after a watch without an answer; a late third does not fit
+LAG_MARGIN = 0.4  # seconds of PROPAGATION_TIME reserved for parsing four answers and for late timers
+WATCH_TIMEOUT = 2.0  # seconds; longest time for which discovery is asked to hold a watch
+MIN_WATCH_TIMEOUT = 0.2  # seconds
+ANSWER_TIMEOUT = 0.7  # seconds beyond the watch timeout after which a call is overdue
+MAX_ANSWER_TIMEOUT = 2.4  # seconds; the limit where discovery is slow, which leaves time for a second call
+SLOW_ANSWER_FACTOR = 1.5  # ratio of the answer timeout to the answer time where discovery is slow
+ANSWER_TIME_DECAY = 0.7  # fraction of the answer time that is kept if the next answer is faster
+OVERDUE_TIMEOUT_GROWTH = 1.25  # factor on the answer timeout for each overdue call
+MAX_OVERDUE_TIMEOUT = 1.2  # seconds; limit of that growth
+WATCH_DELAY = 0.02  # seconds from an answer to the next watch; no busy loop if watches return at once
+MIN_RETRY_DELAY = 0.1  # seconds; shorter than the 0.2 s for which discovery keeps a watch
+MAX_RETRY_DELAY = 1.0  # seconds from call to call while responses are unusable: discovery may be overloaded
+MAX_CALLS = 3  # without an answer at the same time; more would add to the load of a slow discovery
+CALL_TIMEOUT = 20.0  # seconds after which a call is cancelled
 
 
 class CallSchedule:
-    """The time of the next call, by how the calls before it ended."""
+    """Computes the time of the next call from the results of the earlier ones."""
 
     def __init__(self, now: float) -> None:
-        self.next_at = now
-        self.pause = PAUSE  # from the start of a call that has failed to the next
-        self.took = 0.0  # s that answers take of late
-        self.patience = ANSWER  # s after which a call is overdue
+        self.next_call_at = now
+        self.retry_delay = MIN_RETRY_DELAY  # from the start of a failed call to the next
+        self.answer_time = 0.0  # decaying maximum, beyond the watch timeout
+        self.answer_timeout = ANSWER_TIMEOUT
 
-    def begin(self, now: float, watch: bool) -> float:
-        """A call begins; for how long it may be held as a watch."""
-        wait = 0.0
-        if watch:
-            least = GAP + PAUSE + 2 * self.patience  # one that falls silent, and the answer after it
-            wait = max(WATCH_LEAST, min(WATCH, TOLD - MARGIN - least))
-        self.next_at = now + wait + self.patience
-        return wait
+    def start_call(self, now: float, is_watch: bool) -> float:
+        """Record the start of a call and return its watch timeout in seconds, 0 for a snapshot."""
+        watch_timeout = 0.0
+        if is_watch:
+            reserved = WATCH_DELAY + MIN_RETRY_DELAY + 2 * self.answer_timeout  # no answer, then a slow one
+            watch_timeout = max(
+                MIN_WATCH_TIMEOUT, min(WATCH_TIMEOUT, PROPAGATION_TIME - LAG_MARGIN - reserved)
+            )
+        self.next_call_at = now + watch_timeout + self.answer_timeout
+        return watch_timeout
 
-    def overdue(self) -> None:
-        """A call has no answer though its time is up."""
-        self.pause = PAUSE
-        self.patience = max(self.patience, min(OVERDUE_GROWTH * self.patience, OVERDUE_MOST))
+    def on_overdue(self) -> None:
+        """Record that a call has had no answer within its answer timeout."""
+        self.retry_delay = MIN_RETRY_DELAY
+        self.answer_timeout = max(
+            self.answer_timeout, min(OVERDUE_TIMEOUT_GROWTH * self.answer_timeout, MAX_OVERDUE_TIMEOUT)
+        )
 
-    def answered(self, now: float, took: float, watch: bool) -> None:
-        """A good answer came, so long after it was due; below 0 it came before a watch's wait was over."""
-        if took >= 0:
-            self.took = max(took, FADE * self.took)
-        self.patience = min(max(ANSWER, SLOW * self.took), ANSWER_MOST)
-        if watch:  # a whole list alone proves little: watches may be turned away yet
-            self.pause = PAUSE
-        self.next_at = now + GAP
+    def on_answer(self, now: float, answer_time: float, is_watch: bool) -> None:
+        """Record a good answer; `answer_time` is negative if a watch returned before its timeout."""
+        if answer_time >= 0:
+            self.answer_time = max(answer_time, ANSWER_TIME_DECAY * self.answer_time)
+        self.answer_timeout = min(
+            max(ANSWER_TIMEOUT, SLOW_ANSWER_FACTOR * self.answer_time), MAX_ANSWER_TIMEOUT
+        )
+        if is_watch:  # after a snapshot alone, watches may still be rejected
+            self.retry_delay = MIN_RETRY_DELAY
+        self.next_call_at = now + WATCH_DELAY
 
-    def failed(self, now: float, begun: float, away: bool, others: bool = False) -> None:
-        """A call failed; `away` says that nothing answered, so that calls cost discovery nothing.
+    def on_failure(
+        self, now: float, started_at: float, unreachable: bool, others_pending: bool = False
+    ) -> None:
+        """Record a failed call.
 
-        `others` says that other calls have no answer yet: they may be overdue before the pause ends.
+        The delay to the next call doubles with each failure, unless discovery is `unreachable`, where calls
+        add no load. With `others_pending`, other calls have no answer yet and may be overdue earlier.
         """
-        if away:
-            self.pause = PAUSE
-        after_pause = now + max(PAUSE, self.pause - (now - begun))
-        self.next_at = min(self.next_at, after_pause) if others else after_pause
-        self.pause = min(2 * self.pause, PAUSE_MOST)
+        if unreachable:
+            self.retry_delay = MIN_RETRY_DELAY
+        retry_at = now + max(MIN_RETRY_DELAY, self.retry_delay - (now - started_at))
+        self.next_call_at = min(self.next_call_at, retry_at) if others_pending else retry_at
+        self.retry_delay = min(2 * self.retry_delay, MAX_RETRY_DELAY)
--- a/thymehinge/net/discovery.py
+++ b/thymehinge/net/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery over HTTP: the whole list, then watch after watch on one connection."""
+"""Service discovery over HTTP: a snapshot of the server list, then long polls for changes."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from typing import Any
 
 from thymehinge import interface as api
-from thymehinge.net.call_schedule import CALLS_MOST, SLOWEST, CallSchedule
+from thymehinge.net.call_schedule import CALL_TIMEOUT, MAX_CALLS, CallSchedule
 from thymehinge.net.http import HttpClient
 
-SIZE_PART = 1 / 12  # of our memory that an answer's bytes may take: reading a list takes 8 times its bytes
+BODY_MEMORY_FRACTION = 1 / 12  # of the memory limit, for a response's body: parsing it takes 8 times its size
 
 log = logging.getLogger(__name__)
 
-AWAY = OSError  # no answer, TimeoutError among them: calls cost it nothing
-STATES = {
+UNREACHABLE_ERRORS = OSError  # no response, which costs discovery nothing; includes TimeoutError
+LIFECYCLE_STATES = {
     "Ready": api.LifecycleState.RUNNING,
     "Terminating": api.LifecycleState.DRAINING,
     "Gone": api.LifecycleState.GONE,
@@ -29,181 +29,201 @@
 
 @dataclass(frozen=True, slots=True)
 class HostList:
-    """An answer of discovery: the entries for the module and where each is dialled."""
+    """A snapshot or delta of the server list, with the servers' addresses by name."""
 
     version: int
-    whole: bool
+    is_snapshot: bool
     servers: tuple[api.Server, ...]
-    dials: dict[str, tuple[str, int]]
-    bad: tuple[str, ...] = ()  # what is wrong with the entries that are left out
+    addresses: dict[str, tuple[str, int]]
+    entry_errors: tuple[str, ...] = ()  # one message for each invalid entry, which is left out
 
 
-def read_list(raw: Any) -> HostList:
-    """A list in discovery's form; ValueError where it is not one. A bad entry harms no other."""
+def parse_host_list(raw: Any) -> HostList:
+    """Parse a decoded response; raises ValueError if it is not a list. Invalid entries are left out."""
     if not isinstance(raw, dict) or not isinstance(raw.get("hosts"), list):
-        raise ValueError("server list: not an object with hosts")
+        raise ValueError("server list: not an object with a list of hosts")
     version = raw.get("seq")
     if not isinstance(version, int) or isinstance(version, bool):
-        raise ValueError(f"server list: nonsensical seq {version!r}")
-    servers, dials, bad = [], {}, []
+        raise ValueError(f"server list: invalid seq {version!r}")
+    servers, addresses, entry_errors = [], {}, []
     for entry in raw["hosts"]:
         try:
-            server, dial = read_host(entry)
+            server, address = parse_host(entry)
         except ValueError as error:
-            bad.append(str(error))
+            entry_errors.append(str(error))
             continue
         servers.append(server)
-        if dial is not None:
-            dials[server.name] = dial
-    return HostList(version, bool(raw.get("whole")), tuple(servers), dials, tuple(bad))
+        if address is not None:
+            addresses[server.name] = address
+    return HostList(version, bool(raw.get("whole")), tuple(servers), addresses, tuple(entry_errors))
 
 
-def read_host(entry: Any) -> tuple[api.Server, tuple[str, int] | None]:
-    """One entry and its address, which one that is gone may lack."""
+def parse_host(entry: Any) -> tuple[api.Server, tuple[str, int] | None]:
+    """Parse one entry into a server and its address, which is optional if the server is gone.
+
+    Raises ValueError if the entry is invalid.
+    """
     try:
-        state = STATES[entry["health"]]
+        state = LIFECYCLE_STATES[entry["health"]]
         host, _, port = str(entry.get("dial") or "").rpartition(":")
-        dial = (host, int(port)) if host else None
-        if dial is not None and not 0 < dial[1] < 65536:
-            raise ValueError("no port")
-        if dial is None and state is not api.LifecycleState.GONE:
-            raise ValueError("no dial")
-        weight, born = float(entry.get("share") or 0.0), float(entry.get("born_ms") or 0)
-        if not (math.isfinite(weight) and math.isfinite(born)):
-            raise ValueError("not finite")
+        address = (host, int(port)) if host else None
+        if address is not None and not 0 < address[1] < 65536:
+            raise ValueError("port out of range")
+        if address is None and state is not api.LifecycleState.GONE:
+            raise ValueError("dial is missing")
+        weight, started_ms = float(entry.get("share") or 0.0), float(entry.get("born_ms") or 0)
+        if not (math.isfinite(weight) and math.isfinite(started_ms)):
+            raise ValueError("share or born_ms is not finite")
         server = api.Server(
             str(entry["host"]),
             state,
             str(entry.get("site", "")),
             int(entry.get("block") or 0),
             weight,
-            born / 1000,
+            started_ms / 1000,
         )
     except (KeyError, TypeError, AttributeError, ValueError, OverflowError) as error:
-        raise ValueError(f"server list: nonsensical entry {str(entry)[:200]} ({error})") from None
-    return server, dial
+        raise ValueError(f"server list: invalid entry {str(entry)[:200]} ({error})") from None
+    return server, address
 
 
 class Discovery:
-    """Tells every list and change for good, from the address that the configuration names at the time.
+    """Passes every snapshot and delta from the configured discovery address to `on_list`.
 
-    `memory` is what this process may take, in bytes; it bounds how much of an answer is read.
+    `memory_bytes` is the memory limit of this process; it bounds the size of a response.
     """
 
-    def __init__(self, tell: Callable[[HostList], None], memory: int) -> None:
-        self.tell, self.size_most, self.address = tell, int(memory * SIZE_PART), ""
+    def __init__(self, on_list: Callable[[HostList], None], memory_bytes: int) -> None:
+        self.on_list, self.max_body_bytes, self.address = (
+            on_list,
+            int(memory_bytes * BODY_MEMORY_FRACTION),
+            "",
+        )
         self.task: asyncio.Task[None] | None = None
 
-    def move(self, address: str) -> None:
-        """Follow another address from now on, whole list first; a watch that is out is broken off."""
+    def set_address(self, address: str) -> None:
+        """Switch to this address, starting with a snapshot; calls to another address are cancelled."""
         if address == self.address:
             return
         self.stop()
         self.address = address
-        self.task = asyncio.get_running_loop().create_task(follow(address, self.tell, self.size_most))
+        self.task = asyncio.get_running_loop().create_task(
+            watch_hosts(address, self.on_list, self.max_body_bytes)
+        )
 
     def stop(self) -> None:
         if self.task is not None:
             self.task.cancel()
 
 
-async def follow(address: str, tell: Callable[[HostList], None], size_most: int) -> None:
-    """Tell what one address has, for ever."""
-    follower = Follower(address, tell, size_most)
+async def watch_hosts(address: str, on_list: Callable[[HostList], None], max_body_bytes: int) -> None:
+    """Pass the lists from one address to `on_list` until cancelled."""
+    watcher = HostWatcher(address, on_list, max_body_bytes)
     try:
-        await follower.run()
+        await watcher.run()
     finally:
-        follower.close()
+        watcher.close()
 
 
 class Call:
-    """A call that has no answer yet; `wait` is how long discovery may hold it as a watch (s), else 0."""
+    """A call without a response yet.
 
-    def __init__(self, client: HttpClient, version: int | None, wait: float, now: float) -> None:
-        self.client, self.wait, self.begun = client, wait, now
-        self.watches = version is not None
-        self.task = asyncio.get_running_loop().create_task(ask(client, version, wait))
+    `watch_timeout` is how long discovery may hold a watch (seconds), 0 for a snapshot.
+    """
+
+    def __init__(self, client: HttpClient, version: int | None, watch_timeout: float, now: float) -> None:
+        self.client, self.watch_timeout, self.started_at = client, watch_timeout, now
+        self.is_watch = version is not None
+        self.task = asyncio.get_running_loop().create_task(fetch_hosts(client, version, watch_timeout))
 
-    def drop(self) -> None:
+    def cancel(self) -> None:
         if not self.task.cancel() and not self.task.cancelled():
-            self.task.exception()  # it has ended already, and nobody asks how
+            self.task.exception()  # retrieve it, or asyncio logs that nobody did
         self.client.close()
 
 
-class Follower:
-    """Follows one address: watch after watch on a kept connection, and the whole list after any trouble.
+class HostWatcher:
+    """Watches one address on a kept connection, and fetches a snapshot after any failure.
 
-    Where a call is overdue another one is begun beside it, on a connection of its own: the first may be slow
-    or lost, which can't be told. The first good answer counts, and the other calls are dropped.
+    If a call is overdue, another is started on a connection of its own, since the first may be slow or lost.
+    The first good response counts, and the other calls are cancelled.
     """
 
-    def __init__(self, address: str, tell: Callable[[HostList], None], size_most: int) -> None:
-        self.address, self.tell, self.size_most = address, tell, size_most
+    def __init__(self, address: str, on_list: Callable[[HostList], None], max_body_bytes: int) -> None:
+        self.address, self.on_list, self.max_body_bytes = address, on_list, max_body_bytes
         self.schedule = CallSchedule(monotonic())
-        self.version: int | None = None  # of the list that is held; None where the whole list is needed
-        self.calls: list[Call] = []  # without an answer, the earliest first
-        self.kept: HttpClient | None = None  # whose connection brought the last good answer
+        self.version: int | None = None  # of the latest list; None if a snapshot is needed
+        self.calls: list[Call] = []  # without a response, oldest first
+        self.idle_client: HttpClient | None = None  # its connection carried the latest good response
 
     async def run(self) -> None:
+        """Make calls until cancelled."""
         while True:
             now = monotonic()
-            if now >= self.schedule.next_at:
-                self.begin(now)
-            rest = max(0.0, self.schedule.next_at - monotonic())
+            if now >= self.schedule.next_call_at:
+                self.start_call(now)
+            delay = max(0.0, self.schedule.next_call_at - monotonic())
             if not self.calls:
-                await asyncio.sleep(rest)
+                await asyncio.sleep(delay)
                 continue
             done, _ = await asyncio.wait(
-                [call.task for call in self.calls], timeout=rest, return_when=asyncio.FIRST_COMPLETED
+                [call.task for call in self.calls], timeout=delay, return_when=asyncio.FIRST_COMPLETED
             )
             for call in [call for call in self.calls if call.task in done]:
                 if call in self.calls:
-                    self.end(call)
+                    self.finish_call(call)
 
-    def begin(self, now: float) -> None:
-        """The next call: a watch, or for the whole list where one is overdue or has failed."""
+    def start_call(self, now: float) -> None:
+        """Start the next call: a watch, or a snapshot if another call is overdue or has failed.
+
+        The oldest call is cancelled once it exceeds CALL_TIMEOUT; else, at MAX_CALLS, the second oldest is.
+        """
         if self.calls:
-            log.warning("discovery: no answer for %.1f s", now - self.calls[-1].begun)
+            log.warning("discovery: no answer for %.1f s", now - self.calls[-1].started_at)
             self.version = None
-            self.schedule.overdue()
-        while len(self.calls) >= CALLS_MOST or (self.calls and now - self.calls[0].begun > SLOWEST):
-            patient = len(self.calls) > 1 and now - self.calls[0].begun <= SLOWEST
-            self.calls.pop(int(patient)).drop()
-        client, self.kept = self.kept or HttpClient(self.address, self.size_most), None
-        wait = self.schedule.begin(now, watch=self.version is not None)
-        self.calls.append(Call(client, self.version, wait, now))
-
-    def end(self, call: Call) -> None:
-        """A call has ended: its answer is told, or the whole list is asked for before long."""
+            self.schedule.on_overdue()
+        while len(self.calls) >= MAX_CALLS or (self.calls and now - self.calls[0].started_at > CALL_TIMEOUT):
+            keep_oldest = len(self.calls) > 1 and now - self.calls[0].started_at <= CALL_TIMEOUT
+            self.calls.pop(int(keep_oldest)).cancel()
+        client, self.idle_client = self.idle_client or HttpClient(self.address, self.max_body_bytes), None
+        watch_timeout = self.schedule.start_call(now, is_watch=self.version is not None)
+        self.calls.append(Call(client, self.version, watch_timeout, now))
+
+    def finish_call(self, call: Call) -> None:
+        """Pass on the list of a completed call, or schedule a snapshot if the call has failed."""
         self.calls.remove(call)
         now = monotonic()
         try:
-            hosts = read_list(call.task.result())
-            self.tell(hosts)
-            if hosts.bad:
-                raise ValueError(f"{hosts.bad[0]}; {len(hosts.bad)} such entries are passed over")
-        except Exception as error:  # whatever it was, the next call may do better
+            hosts = parse_host_list(call.task.result())
+            self.on_list(hosts)
+            if hosts.entry_errors:
+                raise ValueError(
+                    f"{hosts.entry_errors[0]}; invalid entries left out: {len(hosts.entry_errors)}"
+                )
+        except Exception as error:  # any error: the next call may succeed
             log.warning("discovery: %s: %s", type(error).__name__, str(error)[:200])
             call.client.close()
             self.version = None
-            return self.schedule.failed(now, call.begun, isinstance(error, AWAY), bool(self.calls))
-        self.version, self.kept = hosts.version, call.client
+            return self.schedule.on_failure(
+                now, call.started_at, isinstance(error, UNREACHABLE_ERRORS), bool(self.calls)
+            )
+        self.version, self.idle_client = hosts.version, call.client
         for other in self.calls:
-            other.drop()
+            other.cancel()
         self.calls.clear()
-        return self.schedule.answered(now, now - call.begun - call.wait, call.watches)
+        return self.schedule.on_answer(now, now - call.started_at - call.watch_timeout, call.is_watch)
 
     def close(self) -> None:
-        """Break off all that is out."""
+        """Cancel all calls and close the kept connection."""
         for call in self.calls:
-            call.drop()
-        if self.kept is not None:
-            self.kept.close()
+            call.cancel()
+        if self.idle_client is not None:
+            self.idle_client.close()
 
 
-async def ask(client: HttpClient, version: int | None, wait: float) -> Any:
-    """One call: a watch where a version is held, else the whole list, which comes at once."""
+async def fetch_hosts(client: HttpClient, version: int | None, watch_timeout: float) -> Any:
+    """Make one call and decode the response: a watch from this version, or a snapshot if it is None."""
     target = "/discovery/hosts"
     if version is not None:
-        target = f"{target}?since={version}&timeout_ms={round(wait * 1000)}"
-    return json.loads(await client.get(target, wait + SLOWEST))
+        target = f"{target}?since={version}&timeout_ms={round(watch_timeout * 1000)}"
+    return json.loads(await client.get(target, watch_timeout + CALL_TIMEOUT))
--- a/thymehinge/net/driver.py
+++ b/thymehinge/net/driver.py
@@ -1,4 +1,4 @@
-"""The loop round the decision module: one event in, its actions out, and its timers."""
+"""Connects the sockets to the decision module: passes events to it, carries out its actions, runs timers."""
 
 from __future__ import annotations
 
@@ -18,87 +18,102 @@
 from thymehinge.net.config import Config
 from thymehinge.net.discovery import HostList
 from thymehinge.net.exchange import Exchange
-from thymehinge.net.peers import Peers
+from thymehinge.net.peers import PeerSocket
 from thymehinge.net.server_connection import Attempt
 from thymehinge.net.servers import Servers
 from thymehinge.net.start_times import StartTimes
 
-WAY = 0.004  # s of a client's time for the ways to and from it
-LAG_MOST = 0.05  # s of it kept at most for the loop's own lag
-LAG_FADE = 0.9  # of the lag that is remembered from one timer to the next
-STALLED = 0.02  # s that a timer is late before sockets are read first
-SWEEP = 0.25  # s between looks at connections that have stood for long
-RESERVE = 32  # descriptors for the listener, discovery, peers, files and what is just closing
-SERVER_PART = 0.5  # of the other descriptors that connections to servers may take
-FIRST_LIST = 3.0  # s that clients are kept off for a first list: two calls that discovery leaves unanswered
+CLIENT_ROUND_TRIP = 0.004  # seconds of a client's timeout reserved for the network
+MAX_LAG = 0.05  # seconds; limit of the part of a client's timeout reserved for event loop lag
+LAG_DECAY = 0.9  # fraction of the lag estimate that is kept from one timer to the next
+STALL_THRESHOLD = 0.02  # seconds; if a timer is later than this, sockets are read before timers run
+SWEEP_INTERVAL = 0.25  # seconds between checks of connections for their timeouts
+RESERVED_DESCRIPTORS = 32  # for the listener, discovery, peers, files and connections that are closing
+SERVER_CONNECTION_FRACTION = 0.5  # of the other descriptors, for connections to servers
+FIRST_LIST_TIMEOUT = 3.0  # seconds for which clients are rejected without a list; fits two unanswered calls
 
 log = logging.getLogger(__name__)
 
-Due = Callable[[], None]
+Callback = Callable[[], None]
 
 
-def anchored_clock() -> Callable[[], float]:
-    """Unix time that never jumps: read once, then carried on by the monotonic clock."""
+def monotonic_unix_clock() -> Callable[[], float]:
+    """Return a clock that starts at the Unix time and then follows the monotonic clock."""
     offset, monotonic = time.time() - time.monotonic(), time.monotonic
     return lambda: monotonic() + offset
 
 
 class Driver:
-    """Owns the module and turns its actions into what the sockets do."""
+    """Owns the decision module and the sockets of a gateway; `clock` gives the time in seconds."""
 
     def __init__(self, config: Config, clock: Callable[[], float]) -> None:
         self.clock, self.loop = clock, asyncio.get_running_loop()
         self.gateway = Gateway(config.settings, config.seed, clock())
-        spare = config.sockets - RESERVE
-        most = int(spare * SERVER_PART)
+        descriptors = config.max_sockets - RESERVED_DESCRIPTORS
+        max_server_connections = int(descriptors * SERVER_CONNECTION_FRACTION)
         self.servers = Servers(
-            config.idle_timeout, config.connect_timeout, most, clock, self.at, self.on_outcome
+            config.idle_timeout,
+            config.connect_timeout,
+            max_server_connections,
+            clock,
+            self.call_at,
+            self.on_outcome,
         )
         self.clients = Clients(
-            config.settings, spare - most, self.on_request, self.on_left, self.ready, clock
+            config.settings,
+            descriptors - max_server_connections,
+            self.on_request,
+            self.on_client_gone,
+            self.is_ready,
+            clock,
         )
         self.start_times = StartTimes(config.settings.slow_start_duration, clock)
-        self.peers = Peers(config.peers, config.peers_all, config.settings.gateway_index, self.on_peer)
-        self.exchanges: dict[int, Exchange] = {}
+        self.peers = PeerSocket(
+            config.peers, config.broadcast_address, config.settings.gateway_index, self.on_peer
+        )
+        self.exchanges: dict[int, Exchange] = {}  # by request id, until their last attempt has ended
         self.events: deque[api.Event] = deque()
-        self.due: list[tuple[float, int, Due]] = []
-        self.armed_at, self.handle = math.inf, None  # when the loop wakes us, and by which timer
-        self.order = self.number = 0
-        self.lag, self.busy, self.listed = 0.0, False, False
-        self.listening = math.inf  # since when everything listens, and discovery is called
-        self.end = math.inf  # when this process has to be done with all that it has taken
-        if config.known is not None:
-            self.on_list(config.known, api.ListKind.CACHED)
-        self.at(clock() + SWEEP, self.sweep)
-
-    def ready(self) -> bool:
-        """Whether clients may come: everything listens, and there is a list or discovery has had its time.
-
-        Without a list requests are held and refused as the module's rules say, until one comes.
+        self.timers: list[tuple[float, int, Callback]] = []  # a heap, by time and sequence number
+        self.armed_at, self.timer_handle = math.inf, None  # the event loop's timer for the earliest of them
+        self.sequence = self.last_request_id = 0
+        self.loop_lag, self.dispatching, self.has_list = 0.0, False, False
+        self.listening_since = math.inf  # when all listeners were open and calls to discovery had begun
+        self.drain_deadline = math.inf  # when all requests have to be answered because the process ends
+        if config.known_hosts is not None:
+            self.on_list(config.known_hosts, api.ListKind.CACHED)
+        self.call_at(clock() + SWEEP_INTERVAL, self.sweep)
+
+    def is_ready(self) -> bool:
+        """Whether clients may send requests: there is a server list, or FIRST_LIST_TIMEOUT has passed.
+
+        Without a list, requests wait for one or are refused, as the decision module determines.
         """
-        return self.clock() >= self.listening + (0.0 if self.listed else FIRST_LIST)
+        return self.clock() >= self.listening_since + (0.0 if self.has_list else FIRST_LIST_TIMEOUT)
 
     # Events.
 
     def on_request(self, exchange: Exchange) -> None:
-        """A client's command; its time counts from when it was sent, so the ways and our lag come off.
+        """Pass on a client's request with the time left, less an allowance for network and event loop lag.
 
-        What has no time left is refused here: an attempt would tell its server a time that has passed.
+        A request with no time left is refused here, since an attempt would need a timeout above 0.
         """
         now = self.clock()
-        left = min(exchange.timeout + exchange.received_at - now - WAY - self.lag, self.end - now)
-        if left <= 0:
+        time_left = min(
+            exchange.timeout + exchange.received_at - now - CLIENT_ROUND_TRIP - self.loop_lag,
+            self.drain_deadline - now,
+        )
+        if time_left <= 0:
             return exchange.answer(BUSY_REPLY)
-        self.number += 1
-        exchange.request_id = self.number
-        self.exchanges[self.number] = exchange
-        exchange.deadline = now + left
-        number = exchange.request_id  # the timer outlasts the request, and keeps no more of it than this
-        self.at(exchange.deadline, lambda: self.overdue(number))
-        return self.give(
+        self.last_request_id += 1
+        exchange.request_id = self.last_request_id
+        self.exchanges[self.last_request_id] = exchange
+        exchange.deadline = now + time_left
+        request_id = exchange.request_id  # the timer outlives the request and must not keep it in memory
+        self.call_at(exchange.deadline, lambda: self.on_deadline(request_id))
+        return self.deliver(
             api.Request(
                 exchange.request_id,
-                left,
+                time_left,
                 exchange.class_name,
                 exchange.plan_name,
                 exchange.customer_id,
@@ -109,19 +124,19 @@
             )
         )
 
-    def on_left(self, exchange: Exchange) -> None:
-        """The client closed its connection: nothing is owed, and what is out is called off."""
-        self.give(api.ClientGone(exchange.request_id))
+    def on_client_gone(self, exchange: Exchange) -> None:
+        """Have the decision module cancel a request whose client has closed its connection."""
+        self.deliver(api.ClientGone(exchange.request_id))
 
     def on_outcome(
-        self, attempt: Attempt, result: Result, report: dict[str, float], value: bytes | None
+        self, attempt: Attempt, result: Result, load_report: dict[str, float], value: bytes | None
     ) -> None:
-        """The end of an attempt; the first good answer goes to the client at once."""
+        """Handle the end of an attempt; the first good answer is sent to the client at once."""
         exchange = attempt.exchange
         if value is not None:
             self.answer(exchange, b"$%d\r\n%b\r\n" % (len(value), value))
-        elapsed = self.clock() - attempt.started
-        self.give(
+        elapsed = self.clock() - attempt.started_at
+        self.deliver(
             api.Outcome(
                 exchange.request_id,
                 attempt.index,
@@ -129,72 +144,77 @@
                 result,
                 elapsed,
                 exchange.done,
-                load_report=report,
+                load_report=load_report,
             )
         )
 
     def on_list(self, hosts: HostList, kind: api.ListKind | None = None) -> None:
-        """Discovery's list or changes. The module hears first: sends that waited then go elsewhere."""
+        """Handle a snapshot or delta from discovery.
+
+        Pools are closed only after the decision module has the list, so that it sends the attempts that
+        waited in them to other servers.
+        """
         if kind is None:
-            kind = api.ListKind.SNAPSHOT if hosts.whole else api.ListKind.DELTA
+            kind = api.ListKind.SNAPSHOT if hosts.is_snapshot else api.ListKind.DELTA
         servers = self.start_times.resolve(hosts.servers, kind)
-        self.listed = self.listed or bool(servers) or kind is api.ListKind.SNAPSHOT
-        self.servers.add(servers, hosts.dials)
-        self.give(api.ServerList(kind, hosts.version, servers))
+        self.has_list = self.has_list or bool(servers) or kind is api.ListKind.SNAPSHOT
+        self.servers.add(servers, hosts.addresses)
+        self.deliver(api.ServerList(kind, hosts.version, servers))
         self.servers.remove(servers, kind is not api.ListKind.DELTA)
 
     def on_peer(self, sender: int, body: bytes) -> None:
-        self.give(api.PeerMessage(sender, body))
+        self.deliver(api.PeerMessage(sender, body))
 
-    def give(self, event: api.Event) -> None:
-        """Take in an event; what its actions cause at once comes after it, in order."""
+    def deliver(self, event: api.Event) -> None:
+        """Dispatch an event; events that its actions cause are dispatched after it, in order."""
         self.events.append(event)
-        if self.busy:
+        if self.dispatching:
             return
-        self.busy = True
+        self.dispatching = True
         try:
             while self.events:
-                self.step(self.events.popleft())
+                self.dispatch(self.events.popleft())
         finally:
-            self.busy = False
+            self.dispatching = False
 
-    def step(self, event: api.Event) -> None:
-        """One event; a defect in it, or in one of its actions, fails that request and no other.
+    def dispatch(self, event: api.Event) -> None:
+        """Have the decision module handle an event, and execute its actions.
 
-        A request that is over is forgotten only now: until the module has heard of its end, what it has
-        decided for that request still comes to something that can be answered for.
+        An exception fails the request concerned and no other. A finished request is removed only once the
+        module has been notified of its end, because until then the module may return actions for it.
         """
         try:
             actions = self.gateway.handle(self.clock(), event)
         except Exception:
-            log.exception("defect while handling %s", type(event).__name__)
-            self.at(self.clock(), lambda: self.give(api.TimerDue(-1)))  # has the module set its timer anew
-            return self.spoiled(event)
+            log.exception("unexpected exception while handling %s", type(event).__name__)
+            # Any timer event makes the module set its timer again.
+            self.call_at(self.clock(), lambda: self.deliver(api.TimerDue(-1)))
+            return self.fail_request(event)
         for action in actions:
             try:
-                self.act(action)
+                self.execute(action)
             except Exception:
-                log.exception("defect while doing %s", type(action).__name__)
-                self.spoiled(action)
+                log.exception("unexpected exception while executing %s", type(action).__name__)
+                self.fail_request(action)
         if isinstance(event, (api.Outcome, api.ClientGone)):
-            self.settle(self.exchanges.get(event.request_id))
+            self.remove_if_finished(self.exchanges.get(event.request_id))
         return None
 
-    def spoiled(self, cause: api.Event | api.Action) -> None:
-        """Answer the request that a defect hit, unless the module was only told of its end."""
+    def fail_request(self, cause: api.Event | api.Action) -> None:
+        """Answer the request of an event or action that raised an exception, unless its client has gone."""
         exchange = self.exchanges.get(getattr(cause, "request_id", 0))
         if exchange is not None and not isinstance(cause, api.ClientGone):
             self.abandon(exchange, FAILED_REPLY)
 
     # Actions.
 
-    def act(self, action: api.Action) -> None:
-        """Do what the module decided."""
+    def execute(self, action: api.Action) -> None:
+        """Execute an action; raises TypeError if its type is unknown."""
         match action:
             case api.Send():
-                self.send(action)
+                self.send_attempt(action)
             case api.SetTimer():
-                self.at(action.due_at, lambda: self.give(api.TimerDue(action.tag)))
+                self.call_at(action.due_at, lambda: self.deliver(api.TimerDue(action.tag)))
             case api.Refuse():
                 self.refuse(action)
             case api.Fail():
@@ -202,106 +222,121 @@
             case api.Cancel():
                 exchange = self.exchanges.get(action.request_id)
                 if exchange is not None:
-                    self.servers.give_up(exchange.attempts[action.attempt], Result.CANCELLED)
+                    self.servers.abort_attempt(exchange.attempts[action.attempt], Result.CANCELLED)
             case api.SendToPeer():
-                self.peers.tell(action.body, action.peer)
+                self.peers.send(action.body, action.peer)
             case api.Log():
                 log.info("%s", action.text)
             case api.WatchServers() | api.FetchServers():
-                pass  # the list is always watched, and asked for whole after any failure
+                pass  # discovery is always watched, and a snapshot fetched after each failure
             case _:
                 raise TypeError(f"unknown action {action!r}")
 
-    def send(self, action: api.Send) -> None:
-        exchange, until, begin_by = self.exchanges[action.request_id], action.deadline, action.start_deadline
+    def send_attempt(self, action: api.Send) -> None:
+        """Start an attempt, with timers for its deadlines if they are earlier than the request's."""
+        exchange, deadline, start_deadline = (
+            self.exchanges[action.request_id],
+            action.deadline,
+            action.start_deadline,
+        )
         attempt = Attempt(
             exchange,
             len(exchange.attempts),
             action.server,
             self.clock(),
-            min(until, exchange.deadline),
-            begin_by,
+            min(deadline, exchange.deadline),
+            start_deadline,
         )
         exchange.attempts.append(attempt)
-        if begin_by < exchange.deadline:
-            self.at(begin_by, lambda: self.servers.give_up_waiting(attempt))
-        if until < exchange.deadline:
-            self.at(until, lambda: self.servers.give_up(attempt, Result.TIMEOUT))
-        self.servers.start(attempt)
+        if start_deadline < exchange.deadline:
+            self.call_at(start_deadline, lambda: self.servers.abort_if_waiting(attempt))
+        if deadline < exchange.deadline:
+            self.call_at(deadline, lambda: self.servers.abort_attempt(attempt, Result.TIMEOUT))
+        self.servers.start_attempt(attempt)
 
     def refuse(self, action: api.Refuse) -> None:
-        wait = math.ceil(action.retry_after * 1000)
-        self.answer(self.exchanges.get(action.request_id), b"-BUSY %d\r\n" % wait if wait > 0 else BUSY_REPLY)
+        """Answer BUSY, with the advised retry delay in milliseconds if there is one."""
+        retry_after_ms = math.ceil(action.retry_after * 1000)
+        self.answer(
+            self.exchanges.get(action.request_id),
+            b"-BUSY %d\r\n" % retry_after_ms if retry_after_ms > 0 else BUSY_REPLY,
+        )
 
     def answer(self, exchange: Exchange | None, reply: bytes) -> None:
         if exchange is not None:
             exchange.answer(reply)
-            self.settle(exchange)
+            self.remove_if_finished(exchange)
 
-    def settle(self, exchange: Exchange | None) -> None:
-        """Forget a request that is over."""
-        if exchange is not None and exchange.done and not any(a.out for a in exchange.attempts):
+    def remove_if_finished(self, exchange: Exchange | None) -> None:
+        """Remove a request that is answered and has no attempts in flight."""
+        if exchange is not None and exchange.done and not any(a.in_flight for a in exchange.attempts):
             self.exchanges.pop(exchange.request_id, None)
 
-    def overdue(self, number: int) -> None:
-        """The client's time is up: attempts end as timed out, and an answer goes out in any case."""
-        exchange = self.exchanges.get(number)
+    def on_deadline(self, request_id: int) -> None:
+        """Time out the attempts of a request at its deadline, and answer it if that has not done so."""
+        exchange = self.exchanges.get(request_id)
         if exchange is None:
             return
         for attempt in list(exchange.attempts):
-            self.servers.give_up(attempt, Result.TIMEOUT)
+            self.servers.abort_attempt(attempt, Result.TIMEOUT)
         if not exchange.done:
             self.abandon(exchange)
 
     def abandon(self, exchange: Exchange, reply: bytes | None = None) -> None:
-        """Answer, refused where nothing was ever sent on, and have the module forget the request."""
+        """Answer a request, cancel its attempts and have the decision module drop it.
+
+        The default reply is BUSY if no attempt has been made, else an error.
+        """
         exchange.answer(reply or (FAILED_REPLY if exchange.attempts else BUSY_REPLY))
         for attempt in list(exchange.attempts):
-            self.servers.give_up(attempt, Result.CANCELLED)
-        self.give(api.ClientGone(exchange.request_id))
+            self.servers.abort_attempt(attempt, Result.CANCELLED)
+        self.deliver(api.ClientGone(exchange.request_id))
 
     def abandon_all(self) -> None:
-        """The process ends: what is still in hand is answered now or never, and what still comes at once."""
-        self.end = -math.inf
+        """Answer all pending requests as the process ends; later ones are refused at once."""
+        self.drain_deadline = -math.inf
         for exchange in list(self.exchanges.values()):
             if not exchange.done:
                 self.abandon(exchange)
 
     # Timers.
 
-    def at(self, when: float, what: Due) -> None:
-        """Do something at a time, or as soon after as the loop gets to it."""
-        self.order += 1
-        heapq.heappush(self.due, (when, self.order, what))
+    def call_at(self, when: float, callback: Callback) -> None:
+        """Call a function at a time of the clock, or as soon as possible after it."""
+        self.sequence += 1
+        heapq.heappush(self.timers, (when, self.sequence, callback))
         if when < self.armed_at:
-            self.arm(when)
-
-    def arm(self, when: float) -> None:
-        if self.handle is not None:
-            self.handle.cancel()
-        delay = math.ceil(max(0.0, when - self.clock()) * 1000) / 1000  # the loop counts whole milliseconds
-        self.armed_at, self.handle = when, self.loop.call_later(delay, self.wake)
-
-    def wake(self) -> None:
-        """A timer came due; after a stall what came in meanwhile is read before it is acted on."""
-        late = self.clock() - self.armed_at
-        self.armed_at, self.handle = math.inf, None
-        self.lag = max(min(late, LAG_MOST), LAG_FADE * self.lag)
-        if late > STALLED:  # the second turn of the loop comes after a look at the sockets
-            self.loop.call_soon(self.loop.call_soon, self.run_due)
+            self.set_timer(when)
+
+    def set_timer(self, when: float) -> None:
+        """Replace the event loop's timer."""
+        if self.timer_handle is not None:
+            self.timer_handle.cancel()
+        delay = (
+            math.ceil(max(0.0, when - self.clock()) * 1000) / 1000
+        )  # the event loop rounds to milliseconds
+        self.armed_at, self.timer_handle = when, self.loop.call_later(delay, self.on_timer)
+
+    def on_timer(self) -> None:
+        """Update the lag estimate and run due timers; after a stall, read the sockets first."""
+        lateness = self.clock() - self.armed_at
+        self.armed_at, self.timer_handle = math.inf, None
+        self.loop_lag = max(min(lateness, MAX_LAG), LAG_DECAY * self.loop_lag)
+        if lateness > STALL_THRESHOLD:  # the event loop polls the sockets before it runs the inner callback
+            self.loop.call_soon(self.loop.call_soon, self.run_due_timers)
         else:
-            self.run_due()
+            self.run_due_timers()
 
-    def run_due(self) -> None:
-        """Do all that is due, and set one timer for what comes next."""
+    def run_due_timers(self) -> None:
+        """Run all timers that are due, then set the event loop's timer for the next one."""
         self.armed_at, now = -math.inf, self.clock()
         try:
-            while self.due and self.due[0][0] <= now:
-                heapq.heappop(self.due)[2]()
+            while self.timers and self.timers[0][0] <= now:
+                heapq.heappop(self.timers)[2]()
         finally:
-            self.arm(self.due[0][0])
+            self.set_timer(self.timers[0][0])
 
     def sweep(self) -> None:
-        self.at(self.clock() + SWEEP, self.sweep)
+        self.call_at(self.clock() + SWEEP_INTERVAL, self.sweep)
         self.servers.sweep()
         self.clients.sweep()
--- a/thymehinge/net/http.py
+++ b/thymehinge/net/http.py
@@ -1,6 +1,6 @@
-"""HTTP/1.1 calls to one address, one at a time on a kept connection; h11 reads and writes the messages.
+"""HTTP/1.1 GET requests to one address, one at a time on a kept connection, with h11 as the parser.
 
-A whole HTTP client (TLS, proxies, cookies) would take most of a gateway's start, and many start at once.
+A full HTTP client library (TLS, proxies, cookies) would dominate the start-up time of a gateway.
 """
 
 from __future__ import annotations
@@ -9,94 +9,103 @@
 
 import h11
 
-PIECE = 64 * 1024  # bytes read at once
-HEAD_MOST = 16 * 1024  # bytes of an answer's head
-INTERIM_MOST = 16  # 1xx answers ahead of the final one
+READ_SIZE = 64 * 1024  # bytes
+MAX_HEAD_BYTES = 16 * 1024  # of a response's status line and headers
+MAX_INTERIM_RESPONSES = 16  # 1xx responses before the final one
 
 
 class HttpError(Exception):
-    """An answer came that can't be used; the text tells why."""
+    """A response arrived but is unusable; the message gives the reason."""
 
 
 class HttpClient:
-    """Calls to `address` (host:port); an answer's body holds `size_most` bytes at most."""
+    """Sends requests to `address` (host:port) and reads response bodies of up to `max_body_bytes`."""
 
-    def __init__(self, address: str, size_most: int) -> None:
-        self.address, self.size_most = address, size_most
+    def __init__(self, address: str, max_body_bytes: int) -> None:
+        self.address, self.max_body_bytes = address, max_body_bytes
         host, _, port = address.rpartition(":")
         self.host, self.port = host.strip("[]"), int(port)
         self.reader: asyncio.StreamReader | None = None
         self.writer: asyncio.StreamWriter | None = None
 
-    async def get(self, target: str, budget: float) -> bytearray:
-        """The body of an answer 200, within the budget (s), from the connect to the last byte.
+    async def get(self, target: str, timeout: float) -> bytearray:
+        """Return the body of a response with status 200.
 
-        HttpError for any other answer, and for one that does not come whole; OSError (TimeoutError is one)
-        where nothing came in time. A kept connection that turns out closed is opened anew once.
+        `timeout`, in seconds, covers everything from the connect to the last byte. A request that fails on a
+        reused connection before any response is sent once more on a new connection.
+
+        Raises HttpError for any other or incomplete response, and OSError (which includes TimeoutError) if
+        there is none.
         """
-        kept = self.writer is not None
+        is_reused = self.writer is not None
         try:
-            async with asyncio.timeout(budget):
+            async with asyncio.timeout(timeout):
                 try:
-                    return await self.call(target)
+                    return await self.fetch(target)
                 except ConnectionError:
-                    if not kept:
+                    if not is_reused:
                         raise
                 self.close()
-                return await self.call(target)
+                return await self.fetch(target)
         except BaseException:
             self.close()
             raise
 
-    async def call(self, target: str) -> bytearray:
-        """One call; ConnectionError only where nothing of an answer has come."""
+    async def fetch(self, target: str) -> bytearray:
+        """Send one request and return the response's body, connecting if necessary.
+
+        Raises ConnectionError only if no part of a response has arrived.
+        """
         if self.writer is None:
             self.reader, self.writer = await asyncio.open_connection(self.host, self.port)
-            self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=HEAD_MOST)
+            self.connection = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         request = h11.Request(method="GET", target=target, headers=[("Host", self.address)])
-        self.writer.write(self.http.send(request) + self.http.send(h11.EndOfMessage()))
+        self.writer.write(self.connection.send(request) + self.connection.send(h11.EndOfMessage()))
         try:
-            body = await self.answer()
+            body = await self.read_body()
         except h11.RemoteProtocolError as error:
             raise HttpError(str(error)) from None
-        if self.http.their_state is not h11.DONE or self.http.trailing_data[0]:
+        if self.connection.their_state is not h11.DONE or self.connection.trailing_data[0]:
             self.close()
         else:
-            self.http.start_next_cycle()
+            self.connection.start_next_cycle()
         return body
 
-    async def answer(self) -> bytearray:
-        """The body of the answer, read to its end; a reset is no end."""
-        body, begun, interim = bytearray(), False, 0
+    async def read_body(self) -> bytearray:
+        """Read a whole response; a connection reset does not count as the end of its body."""
+        body, has_data, interim_count = bytearray(), False, 0
         while True:
-            match self.http.next_event():
+            match self.connection.next_event():
                 case h11.NEED_DATA:
                     try:
-                        piece = await self.reader.read(PIECE)
-                        if not (piece or begun):
-                            raise ConnectionError("closed without an answer")
+                        chunk = await self.reader.read(READ_SIZE)
+                        if not (chunk or has_data):
+                            raise ConnectionError("connection closed without a response")
                     except ConnectionError:
-                        if begun:
-                            raise HttpError("reset in the middle of an answer") from None
+                        if has_data:
+                            raise HttpError("connection reset in the middle of a response") from None
                         raise
-                    begun = True
-                    self.http.receive_data(piece)
+                    has_data = True
+                    self.connection.receive_data(chunk)
                 case h11.InformationalResponse():
-                    interim += 1
-                    if interim > INTERIM_MOST:
-                        raise HttpError(f"more than {INTERIM_MOST} answers ahead of the final one")
+                    interim_count += 1
+                    if interim_count > MAX_INTERIM_RESPONSES:
+                        raise HttpError(f"more than {MAX_INTERIM_RESPONSES} interim responses")
                 case h11.Response(status_code=status):
                     if status != 200:
                         raise HttpError(f"status {status}")
                 case h11.Data(data=data):
                     body += data
-                    if len(body) > self.size_most:
-                        raise HttpError(f"given up after {len(body)} bytes, {self.size_most} are the most")
+                    if len(body) > self.max_body_bytes:
+                        raise HttpError(
+                            f"body too large: given up after {len(body)} bytes, "
+                            f"{self.max_body_bytes} are the most"
+                        )
                 case h11.EndOfMessage():
                     return body
 
     def close(self) -> None:
-        """Close the connection, if there is one, whatever is on its way."""
+        """Abort the connection, if there is one."""
         if self.writer is not None:
             self.writer.transport.abort()
             self.reader = self.writer = None
--- a/thymehinge/net/server_connection.py
+++ b/thymehinge/net/server_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a server and the attempt that it carries: the request out, its one outcome back."""
+"""One connection to a table server, and the attempt that it carries."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 if TYPE_CHECKING:
     from thymehinge.net.servers import Pool
 
-STALE = 0.02  # s after a request in which a reset shows that the server had closed the connection before
-TOLD_MARGIN = 0.01  # s by which a server is told less than is left: for the way there, should we be held up
-WRITE_MOST = 0.1  # s that a request may take to be written: its server is told a time as of the beginning
-AT_ONCE = 16 * 1024  # bytes that a connection takes at once: more may take some of WRITE_MOST
-PROGRESS = 0.5  # s for which the rest of an answer may keep one waiting
-FIGURE = rb"[a-z_0-9]{1,16}=[0-9]{1,6}(?:\.[0-9]{1,9})?"
-REPORT = re.compile(FIGURE + rb"(?:," + FIGURE + rb")*")
-NO_REPORT: dict[str, float] = {}
+STALE_RESET_WINDOW = 0.02  # seconds after a write; a reset within it shows that the server had closed earlier
+TIMEOUT_MARGIN = 0.01  # seconds subtracted from the timeout sent to a server, for network and other delays
+WRITE_TIMEOUT = 0.1  # seconds for writing a command; a large command's timeout is shortened by as much
+MAX_IMMEDIATE_WRITE_BYTES = 16 * 1024  # a longer command may not fit into the socket's buffer at once
+PARTIAL_ANSWER_TIMEOUT = 0.5  # seconds without further data in the middle of an answer
+REPORT_FIELD = rb"[a-z_0-9]{1,16}=[0-9]{1,6}(?:\.[0-9]{1,9})?"
+LOAD_REPORT = re.compile(REPORT_FIELD + rb"(?:," + REPORT_FIELD + rb")*")
+EMPTY_REPORT: dict[str, float] = {}
 
 
-class Exchange(Protocol):
-    """What an attempt needs of its request."""
+class RequestSource(Protocol):
+    """The part of a request that its attempts need; see `thymehinge.net.exchange.Exchange`."""
 
     def is_over(self) -> bool: ...
 
@@ -33,153 +33,190 @@
 
 
 class Attempt:
-    """One attempt of a request from its send to its one outcome; it has to begin by `begin_by`."""
+    """One attempt of a request; in flight until its only outcome is reported.
 
-    __slots__ = ("begin_by", "connection", "exchange", "index", "out", "pool", "server", "started", "until")
+    `started_at`, `deadline` and `start_deadline`, the latest time to write the command, are in seconds on the
+    gateway's clock.
+    """
+
+    __slots__ = (
+        "connection",
+        "deadline",
+        "exchange",
+        "in_flight",
+        "index",
+        "pool",
+        "server",
+        "start_deadline",
+        "started_at",
+    )
 
     def __init__(
         self,
-        exchange: Exchange,
+        exchange: RequestSource,
         index: int,
         server: str,
-        started: float,
-        until: float,
-        begin_by: float = math.inf,
+        started_at: float,
+        deadline: float,
+        start_deadline: float = math.inf,
     ) -> None:
         self.exchange, self.index, self.server = exchange, index, server
-        self.started, self.until, self.begin_by, self.out = started, until, begin_by, True
+        self.started_at, self.deadline, self.start_deadline, self.in_flight = (
+            started_at,
+            deadline,
+            start_deadline,
+            True,
+        )
         self.pool: Pool | None = None
-        self.connection: Connection | None = None
+        self.connection: ServerConnection | None = None
 
 
-class Connection(asyncio.Protocol):
-    """One connection to a server; `attempt` is the one that it carries now."""
+class ServerConnection(asyncio.Protocol):
+    """A connection to a table server; carries at most one attempt at a time.
+
+    `write_pending` is set while part of a command has not been passed to the kernel. `reusable` is set once
+    nothing unexpected has followed the latest answer for REUSE_DELAY.
+    """
 
     __slots__ = (
+        "address",
         "attempt",
-        "dial",
-        "held",
+        "buffer",
+        "closed",
         "idle_since",
-        "lost",
         "pool",
-        "rested",
+        "reusable",
         "transport",
-        "unwritten",
+        "write_pending",
         "written_at",
     )
 
-    def __init__(self, pool: Pool, dial: Address) -> None:
-        self.pool, self.dial = pool, dial
-        self.held = b""  # the beginning of an answer
+    def __init__(self, pool: Pool, address: Address) -> None:
+        self.pool, self.address = pool, address
+        self.buffer = b""  # a partial answer
         self.attempt: Attempt | None = None
         self.transport: asyncio.Transport | None = None
-        self.unwritten = self.lost = self.rested = False
+        self.write_pending = self.closed = self.reusable = False
         self.idle_since = self.written_at = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
-        transport.set_write_buffer_limits(high=0)  # so that pausing tells of any byte not yet written
-        self.pool.count += 1
-        self.pool.owner.count += 1
+        transport.set_write_buffer_limits(high=0)  # pause_writing is called if any byte is left unwritten
+        self.pool.open_connections += 1
+        self.pool.servers.open_connections += 1
 
     def pause_writing(self) -> None:
-        self.unwritten = True
+        self.write_pending = True
 
     def resume_writing(self) -> None:
-        self.unwritten = False
+        self.write_pending = False
 
-    def begin(self, attempt: Attempt, now: float) -> None:
-        """Write the request; a write that fails at once has sent nothing whole."""
+    def send_command(self, attempt: Attempt, now: float) -> None:
+        """Write the attempt's command; it counts as not written if the write fails at once."""
         self.attempt, attempt.connection, self.written_at = attempt, self, now
-        left = attempt.until - TOLD_MARGIN - now
-        command = attempt.exchange.encode_command(max(1, int(left * 1000)))
-        if len(command) > AT_ONCE:
-            command = attempt.exchange.encode_command(max(1, int((left - WRITE_MOST) * 1000)))
+        time_left = attempt.deadline - TIMEOUT_MARGIN - now
+        command = attempt.exchange.encode_command(max(1, int(time_left * 1000)))
+        if len(command) > MAX_IMMEDIATE_WRITE_BYTES:
+            command = attempt.exchange.encode_command(max(1, int((time_left - WRITE_TIMEOUT) * 1000)))
         self.transport.write(command)
         if self.transport.is_closing():
-            self.unwritten = True
-        elif self.unwritten:
-            self.pool.owner.at(now + WRITE_MOST, lambda: self.check_written(attempt))
+            self.write_pending = True
+        elif self.write_pending:
+            self.pool.servers.call_at(now + WRITE_TIMEOUT, lambda: self.check_written(attempt))
 
     def check_written(self, attempt: Attempt) -> None:
-        """Give up a request that is still not written whole, which proves that it has not run."""
-        if self.attempt is attempt and self.unwritten:
-            self.end(Result.CONNECT_FAILED)
+        """Abort an attempt whose command is not completely written yet, hence has not run."""
+        if self.attempt is attempt and self.write_pending:
+            self.abort_attempt(Result.CONNECT_FAILED)
 
     def data_received(self, data: bytes) -> None:
         attempt = self.attempt
-        if attempt is None:  # nothing was asked: what it means can't be known
-            return self.drop()
-        owner, begun, self.held = self.pool.owner, bool(self.held), self.held + data
+        if attempt is None:  # unsolicited data: the stream can no longer be trusted
+            return self.abort()
+        servers, was_partial, self.buffer = self.pool.servers, bool(self.buffer), self.buffer + data
         try:
-            value, text, end = parse_answer(self.held)
+            value, text, end = parse_answer(self.buffer)
         except Incomplete:
-            if not begun:
-                had = len(self.held)
-                owner.at(owner.clock() + PROGRESS, lambda: self.look(attempt, had))
+            if not was_partial:
+                size = len(self.buffer)
+                servers.call_at(
+                    servers.clock() + PARTIAL_ANSWER_TIMEOUT, lambda: self.check_progress(attempt, size)
+                )
             return None
         except ProtocolError:
-            return self.end(Result.ERROR)
-        alone, self.held = end == len(self.held), b""
+            return self.abort_attempt(Result.ERROR)
+        is_all_data, self.buffer = end == len(self.buffer), b""
         self.attempt = None
-        if not alone or self.unwritten:
-            self.drop()
-        owner.finish(attempt, *outcome(value, text, alone), value)
-        return self.pool.release(self, rested=False)
+        if not is_all_data or self.write_pending:
+            self.abort()
+        servers.finish_attempt(attempt, *classify_answer(value, text, is_all_data), value)
+        return self.pool.release(self, reusable=False)
+
+    def check_progress(self, attempt: Attempt, previous_size: int) -> None:
+        """Abort an attempt whose partial answer has not grown since the previous check.
 
-    def look(self, attempt: Attempt, had: int) -> None:
-        """Where no more of an answer has come since the last look, it is spoilt, and may have run."""
+        The result is an error, since the command may have run.
+        """
         if self.attempt is not attempt:
             return
-        if len(self.held) == had:
-            return self.end(Result.ERROR)
-        now, owner = len(self.held), self.pool.owner
-        return owner.at(owner.clock() + PROGRESS, lambda: self.look(attempt, now))
-
-    def end(self, result: Result) -> None:
-        """Close, with this outcome for what it carried."""
+        if len(self.buffer) == previous_size:
+            return self.abort_attempt(Result.ERROR)
+        size, servers = len(self.buffer), self.pool.servers
+        return servers.call_at(
+            servers.clock() + PARTIAL_ANSWER_TIMEOUT, lambda: self.check_progress(attempt, size)
+        )
+
+    def abort_attempt(self, result: Result) -> None:
+        """Abort the connection and finish the attempt on it, if any, with this result."""
         attempt, self.attempt = self.attempt, None
-        self.drop()
+        self.abort()
         if attempt is not None:
-            self.pool.owner.finish(attempt, result)
+            self.pool.servers.finish_attempt(attempt, result)
 
-    def drop(self) -> None:
-        """Close at once; the pool forgets it now, not when the loop comes round."""
-        self.forget()
+    def abort(self) -> None:
+        """Abort the connection and remove it from its pool at once, before `connection_lost` is called."""
+        self.remove_from_pool()
         self.transport.abort()
 
-    def forget(self) -> None:
-        if not self.lost:
-            self.lost = True
-            self.pool.count -= 1
-            self.pool.owner.count -= 1
+    def remove_from_pool(self) -> None:
+        """Update the pool's counts and idle connections, unless this has been done."""
+        if not self.closed:
+            self.closed = True
+            self.pool.open_connections -= 1
+            self.pool.servers.open_connections -= 1
             if self in self.pool.idle:
                 self.pool.idle.remove(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.forget()
+        self.remove_from_pool()
         attempt, self.attempt = self.attempt, None
         if attempt is not None:
-            owner = self.pool.owner
-            if self.idle_since and not self.held and owner.clock() - self.written_at < STALE:
-                owner.stale(self.written_at - self.idle_since)
-            owner.finish(attempt, Result.CONNECT_FAILED if self.unwritten else Result.RESET)
-        self.pool.grow()
+            servers = self.pool.servers
+            if self.idle_since and not self.buffer and servers.clock() - self.written_at < STALE_RESET_WINDOW:
+                servers.on_stale_connection(self.written_at - self.idle_since)
+            servers.finish_attempt(attempt, Result.CONNECT_FAILED if self.write_pending else Result.RESET)
+        self.pool.connect_as_needed()
+
 
+def classify_answer(
+    value: bytes | None, text: bytes | None, is_all_data: bool
+) -> tuple[Result, dict[str, float]]:
+    """Return the result and the load report of a parsed answer.
 
-def outcome(value: bytes | None, text: bytes | None, alone: bool) -> tuple[Result, dict[str, float]]:
-    """An answer's result and load report. A refusal proves something only if nothing about it is odd."""
+    `is_all_data` tells that nothing followed the answer. Only a well-formed `-BUSY` with nothing behind it
+    proves that the command has not run.
+    """
     if value is not None:
-        return Result.OK, read_report(text)
-    word, _, report = (text or b"").rpartition(b" ")
-    word, report = (word, read_report(report)) if word else (report, NO_REPORT)
-    refused = word == b"BUSY" and alone and (report is not NO_REPORT or text == word)
-    return Result.REJECTED if refused else Result.ERROR, report
+        return Result.OK, parse_load_report(text)
+    code, _, report = (text or b"").rpartition(b" ")
+    code, report = (code, parse_load_report(report)) if code else (report, EMPTY_REPORT)
+    rejected = code == b"BUSY" and is_all_data and (report is not EMPTY_REPORT or text == code)
+    return Result.REJECTED if rejected else Result.ERROR, report
 
 
-def read_report(text: bytes | None) -> dict[str, float]:
-    """A load report's figures; one that is no report, or holds what no server could mean, tells nothing."""
-    if text is None or not REPORT.fullmatch(text):
-        return NO_REPORT
+def parse_load_report(text: bytes | None) -> dict[str, float]:
+    """Parse a load report; EMPTY_REPORT if there is none or any part of it is malformed."""
+    if text is None or not LOAD_REPORT.fullmatch(text):
+        return EMPTY_REPORT
     pairs = (pair.split("=") for pair in text.decode().split(","))
     return {name: float(value) for name, value in pairs}
--- a/thymehinge/net/servers.py
+++ b/thymehinge/net/servers.py
@@ -1,6 +1,6 @@
-"""Connections to servers: a pool for each, one request at a time on a connection.
+"""Connection pools to the table servers, with one attempt at a time on a connection.
 
-One request at a time, so that giving up an attempt, which means closing its connection, harms no other.
+Aborting an attempt closes its connection, so a connection must not carry other attempts.
 """
 
 from __future__ import annotations
@@ -12,247 +12,288 @@
 
 from thymehinge.interface import LifecycleState, Result, Server
 from thymehinge.net.config import Address
-from thymehinge.net.server_connection import NO_REPORT, Attempt, Connection
+from thymehinge.net.server_connection import EMPTY_REPORT, Attempt, ServerConnection
 
-IDLE_PART = 0.7  # of the servers' idle time-out after which a connection is not used again
-PER_SERVER = 128  # connections to one server at most
-REST = 0.02  # s after an answer in which more may follow that belongs to nobody; then it is used again
-KEEP_GROWTH = 1.2  # by which the time for which idle connections are used again grows with each sweep
+IDLE_LIMIT_FRACTION = 0.7  # of the servers' idle timeout; connections idle for longer are not reused
+MAX_CONNECTIONS_PER_SERVER = 128
+REUSE_DELAY = 0.02  # seconds after an answer in which unexpected data may follow; no reuse before
+IDLE_LIMIT_GROWTH = 1.2  # factor by which a lowered idle limit recovers with each sweep
 
-Report = Callable[[Attempt, Result, dict[str, float], bytes | None], None]
+OutcomeCallback = Callable[[Attempt, Result, dict[str, float], bytes | None], None]
 
 
 class Pool:
-    """The connections to one server; its most recently idle one is used first."""
+    """The connections to one server; the most recently used idle one is reused first."""
 
-    def __init__(self, owner: Servers, dial: Address, started: float) -> None:
-        self.owner, self.dial, self.started, self.running = owner, dial, started, True
-        self.count = self.connecting = 0
-        self.idle: list[Connection] = []
+    def __init__(self, servers: Servers, address: Address, started_at: float) -> None:
+        self.servers, self.address, self.started_at, self.running = servers, address, started_at, True
+        self.open_connections = self.connecting = 0
+        self.idle: list[ServerConnection] = []  # by the time since which they are idle, oldest first
         self.waiting: deque[Attempt] = deque()
 
-    def start(self, attempt: Attempt) -> None:
-        """Send on an idle connection, or wait for the first that comes up or has rested."""
-        attempt.pool, now = self, self.owner.clock()
-        connection = self.rested(now)
+    def start_attempt(self, attempt: Attempt) -> None:
+        """Send the attempt on a reusable connection, or queue it for the next one that is available."""
+        attempt.pool, now = self, self.servers.clock()
+        connection = self.take_reusable(now)
         if connection is not None:
-            return connection.begin(attempt, now)
+            return connection.send_command(attempt, now)
         self.waiting.append(attempt)
-        return self.grow()
-
-    def rested(self, now: float) -> Connection | None:
-        """The idle connection used last of those on which nothing came after the answer."""
-        for i in range(len(self.idle) - 1, -1, -1):
-            connection = self.idle[i]
-            if connection.rested:
-                del self.idle[i]
-                fresh = now - connection.idle_since < self.owner.keep
-                if fresh and not connection.transport.is_closing():
+        return self.connect_as_needed()
+
+    def take_reusable(self, now: float) -> ServerConnection | None:
+        """Remove the most recently used reusable connection from the idle ones and return it.
+
+        Closes reusable connections that exceed the idle limit.
+        """
+        for index in range(len(self.idle) - 1, -1, -1):
+            connection = self.idle[index]
+            if connection.reusable:
+                del self.idle[index]
+                is_fresh = now - connection.idle_since < self.servers.idle_limit
+                if is_fresh and not connection.transport.is_closing():
                     return connection
-                connection.drop()
+                connection.abort()
         return None
 
-    def grow(self) -> None:
-        """As many connections on their way as sends that wait, within the bounds."""
+    def connect_as_needed(self) -> None:
+        """Open a connection for each waiting attempt, within the limits on connections.
+
+        If the limits leave this pool without any connection, waiting attempts end as NOT_SENT.
+        """
         while self.connecting < len(self.waiting) and self.running:
-            if not self.owner.room(self):
-                if self.count + self.connecting == 0:  # our own bound: the server is not to blame
-                    self.owner.finish(self.waiting.popleft(), Result.NOT_SENT)
+            if not self.servers.ensure_capacity(self):
+                if self.open_connections + self.connecting == 0:  # not a failure of the server
+                    self.servers.finish_attempt(self.waiting.popleft(), Result.NOT_SENT)
                     continue
                 return
             self.connecting += 1
-            self.owner.connecting += 1
-            self.owner.spawn(self.connect())
+            self.servers.connecting += 1
+            self.servers.spawn(self.connect())
 
     async def connect(self) -> None:
-        """Open one connection; one that fails ends the send that has waited longest for it."""
-        dial, connection = self.dial, None
+        """Open one connection; if that fails, the attempt that has waited longest fails."""
+        address, connection = self.address, None
         try:
-            async with asyncio.timeout(self.owner.connect_timeout):
-                _, connection = await self.owner.loop.create_connection(
-                    lambda: Connection(self, dial), dial[0], dial[1]
+            async with asyncio.timeout(self.servers.connect_timeout):
+                _, connection = await self.servers.loop.create_connection(
+                    lambda: ServerConnection(self, address), address[0], address[1]
                 )
-        except OSError:  # TimeoutError is one
+        except OSError:  # includes TimeoutError
             pass
         self.connecting -= 1
-        self.owner.connecting -= 1
-        if connection is not None and not connection.lost:
-            self.release(connection, rested=True)
-        elif dial == self.dial and len(self.waiting) > self.connecting:
-            self.owner.finish(self.waiting.popleft(), Result.CONNECT_FAILED)
-        self.grow()
-
-    def release(self, connection: Connection, rested: bool) -> None:
-        """A connection is free, at once where it is new: for the next send that still may go, or idle."""
-        if connection.lost or connection.transport.is_closing():
+        self.servers.connecting -= 1
+        if connection is not None and not connection.closed:
+            self.release(connection, reusable=True)
+        elif address == self.address and len(self.waiting) > self.connecting:
+            self.servers.finish_attempt(self.waiting.popleft(), Result.CONNECT_FAILED)
+        self.connect_as_needed()
+
+    def release(self, connection: ServerConnection, reusable: bool) -> None:
+        """Send the next waiting attempt on a free connection, or add the connection to the idle ones.
+
+        A new connection is reusable at once, one that has just received an answer only after REUSE_DELAY.
+        """
+        if connection.closed or connection.transport.is_closing():
             return None
-        if not self.running or connection.dial != self.dial:
-            return connection.drop()
-        now = self.owner.clock()
-        if rested and (attempt := self.next_waiting(now)) is not None:
-            return connection.begin(attempt, now)
-        connection.idle_since, connection.rested = now, rested
+        if not self.running or connection.address != self.address:
+            return connection.abort()
+        now = self.servers.clock()
+        if reusable and (attempt := self.next_waiting(now)) is not None:
+            return connection.send_command(attempt, now)
+        connection.idle_since, connection.reusable = now, reusable
         self.idle.append(connection)
-        return None if rested else self.owner.rest(connection)
+        return None if reusable else self.servers.delay_reuse(connection)
 
     def next_waiting(self, now: float) -> Attempt | None:
-        """The send that has waited longest, of those that still may go."""
+        """Remove the first waiting attempt that may still be sent and return it.
+
+        Attempts before it, which are past a deadline or whose request is over, end as NOT_SENT.
+        """
         while self.waiting:
             attempt = self.waiting.popleft()
-            if attempt.until > now and attempt.begin_by >= now and not attempt.exchange.is_over():
+            if attempt.deadline > now and attempt.start_deadline >= now and not attempt.exchange.is_over():
                 return attempt
-            self.owner.finish(attempt, Result.NOT_SENT)
+            self.servers.finish_attempt(attempt, Result.NOT_SENT)
         return None
 
-    def serve(self) -> None:
-        """Send what waits on the connections that have rested."""
-        now = self.owner.clock()
-        while self.waiting and (connection := self.rested(now)) is not None:
+    def send_waiting(self) -> None:
+        """Send waiting attempts on reusable connections."""
+        now = self.servers.clock()
+        while self.waiting and (connection := self.take_reusable(now)) is not None:
             attempt = self.next_waiting(now)
             if attempt is None:
                 self.idle.append(connection)
             else:
-                connection.begin(attempt, now)
+                connection.send_command(attempt, now)
 
-    def follow(self, dial: Address, started: float) -> None:
-        """A new address or start: what is idle leads to a process that is no more, perhaps without a word."""
-        if (dial, started) != (self.dial, self.started):
-            self.dial, self.started = dial, started
-            self.drop_idle(math.inf)
+    def update_server(self, address: Address, started_at: float) -> None:
+        """Record the server's address and start time, and close idle connections if either has changed.
 
-    def drop_idle(self, before: float) -> None:
-        """Close what has been idle since before a time."""
+        The process at their other end is gone; if its machine failed, it has not closed them.
+        """
+        if (address, started_at) != (self.address, self.started_at):
+            self.address, self.started_at = address, started_at
+            self.close_idle(math.inf)
+
+    def close_idle(self, before: float) -> None:
+        """Close connections that have been idle since before this time."""
         while self.idle and self.idle[0].idle_since < before:
-            self.idle[0].drop()
+            self.idle[0].abort()
 
     def close(self) -> None:
-        """Drained or gone: nothing new goes out, what is out may end."""
+        """Stop sending: waiting attempts end as NOT_SENT, those on a connection may finish."""
         self.running = False
-        self.drop_idle(math.inf)
+        self.close_idle(math.inf)
         while self.waiting:
-            self.owner.finish(self.waiting.popleft(), Result.NOT_SENT)
+            self.servers.finish_attempt(self.waiting.popleft(), Result.NOT_SENT)
 
 
 class Servers:
-    """All pools, their bounds, and the one outcome of each attempt."""
+    """The pools of all servers, their common limits, and the single outcome of each attempt.
+
+    `idle_timeout` and `connect_timeout` are in seconds; `call_at` calls a function at a time of `clock`.
+    """
 
     def __init__(
         self,
         idle_timeout: float,
         connect_timeout: float,
-        most: int,
+        max_connections: int,
         clock: Callable[[], float],
-        at: Callable[[float, Callable[[], None]], None],
-        report: Report,
+        call_at: Callable[[float, Callable[[], None]], None],
+        on_outcome: OutcomeCallback,
     ) -> None:
-        self.idle_most, self.connect_timeout, self.most = IDLE_PART * idle_timeout, connect_timeout, most
-        self.keep = self.idle_most  # s idle after which a connection is not used again, as far as is known
-        self.clock, self.at, self.report, self.count, self.connecting = clock, at, report, 0, 0
+        self.max_idle_limit, self.connect_timeout, self.max_connections = (
+            IDLE_LIMIT_FRACTION * idle_timeout,
+            connect_timeout,
+            max_connections,
+        )
+        self.idle_limit = self.max_idle_limit  # seconds; lowered when a server turns out to close earlier
+        self.clock, self.call_at, self.on_outcome, self.open_connections, self.connecting = (
+            clock,
+            call_at,
+            on_outcome,
+            0,
+            0,
+        )
         self.loop = asyncio.get_running_loop()
         self.pools: dict[str, Pool] = {}
         self.tasks: set[asyncio.Task[None]] = set()
-        self.resting: deque[Connection] = deque()  # with an answer read, in that order; not to be used yet
+        self.awaiting_reuse: deque[ServerConnection] = deque()  # idle but not reusable yet, oldest first
 
-    def add(self, servers: tuple[Server, ...], dials: dict[str, Address]) -> None:
-        """Take in what is in service, before the module hears of it."""
+    def add(self, servers: tuple[Server, ...], addresses: dict[str, Address]) -> None:
+        """Add or update the pools of running servers, before the decision module gets the list."""
         for server in servers:
             if server.state is LifecycleState.RUNNING:
                 name = server.name
                 pool = self.pools.get(name)
                 if pool is None:
-                    self.pools[name] = Pool(self, dials[name], server.started_at)
+                    self.pools[name] = Pool(self, addresses[name], server.started_at)
                 else:
-                    pool.follow(dials[name], server.started_at)
+                    pool.update_server(addresses[name], server.started_at)
 
-    def remove(self, servers: tuple[Server, ...], whole: bool) -> None:
-        """Nothing new for what drains or is gone; once the module knows, so that it sends elsewhere."""
+    def remove(self, servers: tuple[Server, ...], is_snapshot: bool) -> None:
+        """Close the pools of servers that are draining, gone, or missing from a snapshot.
+
+        Called once the decision module has the list, so that it sends waiting attempts to other servers.
+        """
         running = {s.name for s in servers if s.state is LifecycleState.RUNNING}
-        told = {s.name for s in servers}
-        for name in [n for n in self.pools if n not in running and (whole or n in told)]:
+        listed = {s.name for s in servers}
+        for name in [n for n in self.pools if n not in running and (is_snapshot or n in listed)]:
             self.pools.pop(name).close()
 
-    def start(self, attempt: Attempt) -> None:
-        """Send an attempt, unless its request or its time is over or its server no longer in service."""
+    def start_attempt(self, attempt: Attempt) -> None:
+        """Send an attempt; it ends as NOT_SENT if it is too late or if its server is not in service."""
         pool = self.pools.get(attempt.server)
-        if pool is None or attempt.exchange.is_over() or attempt.begin_by < self.clock():
-            return self.finish(attempt, Result.NOT_SENT)
-        return pool.start(attempt)
+        if pool is None or attempt.exchange.is_over() or attempt.start_deadline < self.clock():
+            return self.finish_attempt(attempt, Result.NOT_SENT)
+        return pool.start_attempt(attempt)
 
-    def give_up(self, attempt: Attempt, result: Result) -> None:
-        """Stop waiting: close the connection, or forget a send that never began, which is no failure."""
-        if not attempt.out:
+    def abort_attempt(self, attempt: Attempt, result: Result) -> None:
+        """End an attempt in flight and close its connection.
+
+        A timeout becomes CONNECT_FAILED if the command has not been written completely, hence has not run. An
+        attempt that waits for a connection ends as NOT_SENT if it is cancelled, else as CONNECT_FAILED.
+        """
+        if not attempt.in_flight:
             return
         if attempt.connection is not None:
-            never = result is Result.TIMEOUT and attempt.connection.unwritten
-            attempt.connection.end(Result.CONNECT_FAILED if never else result)
+            not_written = result is Result.TIMEOUT and attempt.connection.write_pending
+            attempt.connection.abort_attempt(Result.CONNECT_FAILED if not_written else result)
         else:
             if attempt.pool is not None and attempt in attempt.pool.waiting:
                 attempt.pool.waiting.remove(attempt)
-            self.finish(attempt, Result.NOT_SENT if result is Result.CANCELLED else Result.CONNECT_FAILED)
+            self.finish_attempt(
+                attempt, Result.NOT_SENT if result is Result.CANCELLED else Result.CONNECT_FAILED
+            )
 
-    def give_up_waiting(self, attempt: Attempt) -> None:
-        """An attempt that still waits for a connection may not begin any more."""
-        if attempt.out and attempt.connection is None:
-            self.give_up(attempt, Result.CANCELLED)
+    def abort_if_waiting(self, attempt: Attempt) -> None:
+        """Abort an attempt that still waits for a connection at its start deadline."""
+        if attempt.in_flight and attempt.connection is None:
+            self.abort_attempt(attempt, Result.CANCELLED)
 
-    def finish(
+    def finish_attempt(
         self,
         attempt: Attempt,
         result: Result,
-        report: dict[str, float] = NO_REPORT,
+        load_report: dict[str, float] = EMPTY_REPORT,
         value: bytes | None = None,
     ) -> None:
-        """The one outcome of an attempt."""
-        if attempt.out:
-            attempt.out, attempt.connection = False, None
-            self.report(attempt, result, report, value)
-
-    def room(self, pool: Pool) -> bool:
-        """Whether one more connection may be opened; an idle one elsewhere makes way."""
-        if pool.count + pool.connecting >= PER_SERVER:
+        """Report an attempt's outcome, unless it has been reported."""
+        if attempt.in_flight:
+            attempt.in_flight, attempt.connection = False, None
+            self.on_outcome(attempt, result, load_report, value)
+
+    def ensure_capacity(self, pool: Pool) -> bool:
+        """Whether the pool may open a connection.
+
+        At the total limit, the connection that has been idle for longest in any pool is closed to allow it.
+        """
+        if pool.open_connections + pool.connecting >= MAX_CONNECTIONS_PER_SERVER:
             return False
-        if self.count + self.connecting < self.most:
+        if self.open_connections + self.connecting < self.max_connections:
             return True
         idle = [p.idle[0] for p in self.pools.values() if p.idle]
         if idle:
-            min(idle, key=lambda c: c.idle_since).drop()
+            min(idle, key=lambda c: c.idle_since).abort()
         return bool(idle)
 
-    def rest(self, connection: Connection) -> None:
-        """Keep a connection that has just brought an answer out of use for a while."""
-        self.resting.append(connection)
-        if len(self.resting) == 1:
-            self.at(connection.idle_since + REST, self.look)
+    def delay_reuse(self, connection: ServerConnection) -> None:
+        """Make a connection that has just received an answer reusable after REUSE_DELAY."""
+        self.awaiting_reuse.append(connection)
+        if len(self.awaiting_reuse) == 1:
+            self.call_at(connection.idle_since + REUSE_DELAY, self.read_before_reuse)
 
-    def look(self) -> None:
-        """Time to use connections again, but what has come on them meanwhile is read first.
+    def read_before_reuse(self) -> None:
+        """Make connections reusable once the data that has arrived on them has been read.
 
-        After a stall of this process that may be a second answer, which the next request would be served
-        with. The second turn of the loop comes after a look at the sockets.
+        After a stall of this process a second answer may be unread, and would be taken for the answer to the
+        next request. The event loop polls the sockets before it runs the inner callback.
         """
-        self.loop.call_soon(self.loop.call_soon, self.rise, self.clock() - REST)
+        self.loop.call_soon(self.loop.call_soon, self.mark_reusable, self.clock() - REUSE_DELAY)
 
-    def rise(self, before: float) -> None:
-        """Connections that brought their answers before then, and nothing since, are free again."""
-        while self.resting and self.resting[0].idle_since <= before:
-            connection = self.resting.popleft()
-            connection.rested = True
-            connection.pool.serve()
-        if self.resting:
-            self.at(self.resting[0].idle_since + REST, self.look)
+    def mark_reusable(self, idle_before: float) -> None:
+        """Make connections reusable that have been idle since this time or earlier."""
+        while self.awaiting_reuse and self.awaiting_reuse[0].idle_since <= idle_before:
+            connection = self.awaiting_reuse.popleft()
+            connection.reusable = True
+            connection.pool.send_waiting()
+        if self.awaiting_reuse:
+            self.call_at(self.awaiting_reuse[0].idle_since + REUSE_DELAY, self.read_before_reuse)
 
-    def stale(self, idle: float) -> None:
-        """A connection that stood idle for so long had been closed without a word: a new one is cheaper."""
-        self.keep = max(REST, min(self.keep, idle) / 2)
+    def on_stale_connection(self, idle_time: float) -> None:
+        """Lower the idle limit, since a server had closed a connection that was idle for this long."""
+        self.idle_limit = max(REUSE_DELAY, min(self.idle_limit, idle_time) / 2)
 
     def sweep(self) -> None:
-        """Close what has stood idle long: the server would soon do so itself, perhaps under a request."""
-        self.keep = min(self.idle_most, KEEP_GROWTH * self.keep)
-        before = self.clock() - self.keep
+        """Close connections that exceed the idle limit before their servers do, and raise a lowered limit."""
+        self.idle_limit = min(self.max_idle_limit, IDLE_LIMIT_GROWTH * self.idle_limit)
+        before = self.clock() - self.idle_limit
         for pool in self.pools.values():
-            pool.drop_idle(before)
+            pool.close_idle(before)
 
-    def spawn(self, connect: object) -> None:
-        task = self.loop.create_task(connect)
+    def spawn(self, coroutine: object) -> None:
+        """Run a coroutine as a task, with a reference that keeps it from being garbage-collected."""
+        task = self.loop.create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
--- a/thymehinge/net/start_times.py
+++ b/thymehinge/net/start_times.py
@@ -1,8 +1,8 @@
-"""When table servers started, on this process's own clock, which no step of the wall clock moves.
+"""Start times of table servers on this process's clock, unaffected by steps of the wall clock.
 
-Discovery tells the start of a server in Unix time. Wall clocks may be set while we run, before we start, or
-between a server's start and our hearing of it, so that the difference from our wall clock is worth no more
-than what else is known: a server that the last list lacked has not run for long.
+Discovery gives start times in Unix time. Wall clocks may be stepped at any time, here or at the server, so an
+age computed from them is accepted only if it agrees with the lists: a server that was missing from the
+previous list has started since.
 """
 
 from __future__ import annotations
@@ -14,70 +14,75 @@
 
 from thymehinge.interface import LifecycleState, ListKind, Server
 
-LISTING_LAG = 5.0  # s at most from a server's start until discovery lists it
-LAG_PART = 0.25  # of the warm-up that this lag may be taken for at most: more would overrate a cold server
-DEPARTED_MOST = 1024  # servers no longer listed whose starts are still known
+MAX_LISTING_DELAY = 5.0  # seconds from a server's start until discovery lists it
+LISTING_DELAY_FRACTION = 0.25  # limit of that delay as a fraction of the slow start
+MAX_DELISTED = 1024  # delisted servers whose start times are kept
 
 
-class Start(NamedTuple):
-    """The start of a server: as discovery told it (Unix time, s), and on our clock (s)."""
+class StartTime(NamedTuple):
+    """A server's start time in seconds, in Unix time as given by discovery and on the local clock."""
 
-    told: float
-    local: float
+    unix_time: float
+    local_time: float
 
 
 class StartTimes:
-    """Turns the Unix times of starts into times of `clock` (s); `warm_up` is how long servers are cold (s).
+    """Converts start times from Unix time to the time of `clock`, all in seconds.
 
-    `wall` is the wall clock (Unix time, s).
+    `slow_start_duration` is the time from a server's start until it has its full capacity; `wall_clock` gives
+    the Unix time.
     """
 
     def __init__(
-        self, warm_up: float, clock: Callable[[], float], wall: Callable[[], float] = time.time
+        self,
+        slow_start_duration: float,
+        clock: Callable[[], float],
+        wall_clock: Callable[[], float] = time.time,
     ) -> None:
-        self.clock, self.wall = clock, wall
-        self.lag = min(LISTING_LAG, LAG_PART * warm_up)
-        self.listed: dict[str, Start] = {}  # by server
-        self.departed: dict[str, Start] = {}  # of servers no longer listed, which may come back as they were
-        self.told_at: float | None = None  # when discovery last told anything
+        self.clock, self.wall_clock = clock, wall_clock
+        self.listing_delay = min(MAX_LISTING_DELAY, LISTING_DELAY_FRACTION * slow_start_duration)
+        self.listed: dict[str, StartTime] = {}  # by server name
+        self.delisted: dict[str, StartTime] = {}  # servers that may be listed again, oldest first
+        self.last_list_at: float | None = None  # when discovery last sent a list
 
     def resolve(self, servers: Sequence[Server], kind: ListKind) -> tuple[Server, ...]:
-        """The servers of a list with their starts on our clock; 0, which is long ago, stays 0."""
-        now, age_most = self.clock(), None
-        if kind is not ListKind.CACHED:  # that one is from before our own start
-            if self.told_at is not None:
-                age_most = now - self.told_at + self.lag
-            self.told_at = now
+        """Return the servers of a list with local start times; 0, for long ago, stays 0."""
+        now, max_age = self.clock(), None
+        if kind is not ListKind.CACHED:  # a cached list is older than this process
+            if self.last_list_at is not None:
+                max_age = now - self.last_list_at + self.listing_delay
+            self.last_list_at = now
         if kind is not ListKind.DELTA:
-            self.depart(self.listed.keys() - {server.name for server in servers})
-        resolved = tuple(self.resolve_one(server, now, age_most) for server in servers)
-        self.depart({server.name for server in servers if server.state is LifecycleState.GONE})
+            self.delist(self.listed.keys() - {server.name for server in servers})
+        resolved = tuple(self.resolve_server(server, now, max_age) for server in servers)
+        self.delist({server.name for server in servers if server.state is LifecycleState.GONE})
         return resolved
 
-    def resolve_one(self, server: Server, now: float, age_most: float | None) -> Server:
-        name, known = server.name, self.listed.get(server.name) or self.departed.pop(server.name, None)
-        if server.started_at <= 0:  # most servers of a large fleet: nothing is kept of them
+    def resolve_server(self, server: Server, now: float, max_age: float | None) -> Server:
+        name, start = server.name, self.listed.get(server.name) or self.delisted.pop(server.name, None)
+        if server.started_at <= 0:  # most servers of a large fleet; nothing needs to be stored
             self.listed.pop(name, None)
             return server
-        if known is None or known.told != server.started_at:
-            known = Start(server.started_at, now - self.age(server.started_at, age_most))
-        self.listed[name] = known
-        return replace(server, started_at=known.local)
+        if start is None or start.unix_time != server.started_at:
+            start = StartTime(server.started_at, now - self.estimate_age(server.started_at, max_age))
+        self.listed[name] = start
+        return replace(server, started_at=start.local_time)
 
-    def age(self, started: float, age_most: float | None) -> float:
-        """Seconds since a start that was not known: 0 where the wall clock can't be right.
+    def estimate_age(self, started_at: float, max_age: float | None) -> float:
+        """Return the seconds since a new start time, given in Unix time.
 
-        Then the start lies in the future, or long before a list that lacked the server.
+        Returns 0 if the wall clocks are evidently wrong: the start time is in the future, or long before a
+        list that did not contain the server.
         """
-        age = self.wall() - started
-        if age < 0 or (age_most is not None and age > age_most):
+        age = self.wall_clock() - started_at
+        if age < 0 or (max_age is not None and age > max_age):
             return 0.0
         return age
 
-    def depart(self, names: Iterable[str]) -> None:
-        """These servers are no longer listed; the starts of the latest such are kept."""
+    def delist(self, names: Iterable[str]) -> None:
+        """Move servers to the delisted ones, of which the latest MAX_DELISTED are kept."""
         for name in names:
             if (start := self.listed.pop(name, None)) is not None:
-                self.departed[name] = start
-        for name in list(self.departed)[: max(0, len(self.departed) - DEPARTED_MOST)]:
-            del self.departed[name]
+                self.delisted[name] = start
+        for name in list(self.delisted)[: max(0, len(self.delisted) - MAX_DELISTED)]:
+            del self.delisted[name]
