--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -16,7 +16,7 @@
     return path
 
 
-def test_a_page_states_ranges_by_name(tmp_path):
+def test_read_ranges_returns_ranges_by_name(tmp_path):
     path = write_page(
         tmp_path / "page.md", "| `a.b` | 1,234 | 1,200 to 1,300 | bytes |", "| `c.d` | 0.5 | 0 to 0.75 | x |"
     )
@@ -27,11 +27,11 @@
     ("rows", "message"),
     [
         ([], "no row"),
-        (["| `a` | 1 | 2 to 1 | x |"], "no range"),
+        (["| `a` | 1 | 2 to 1 | x |"], "not a valid range"),
         (["| `a` | 1 | 0 to 1 | x |", "| `a` | 1 | 0 to 2 | x |"], "two rows"),
     ],
 )
-def test_an_invalid_page_raises(tmp_path, rows, message):
+def test_invalid_page_raises(tmp_path, rows, message):
     with pytest.raises(PageError, match=message):
         read_ranges(write_page(tmp_path / "page.md", *rows))
     with pytest.raises(PageError, match="No such file"):
@@ -47,8 +47,8 @@
 
 
 @pytest.mark.parametrize(("value", "exit_code"), [(1.0, 0), (3.0, 1)])
-def test_check_fails_if_a_slope_is_out_of_range(tmp_path, monkeypatch, value, exit_code):
+def test_check_fails_if_slope_is_out_of_range(tmp_path, monkeypatch, value, exit_code):
     monkeypatch.setattr(program, "SUITES", {"one": lambda small, seed: iter([Slope("a", value, "x", "")])})
     path = write_page(tmp_path / "page.md", "| `a` | 1 | 0.5 to 2 | x |")
     result = CliRunner().invoke(program.main, ["check", "--page", str(path)])
-    assert result.exit_code == exit_code and f"1 slopes, {exit_code} faults" in result.output
+    assert result.exit_code == exit_code and f"1 slopes, {exit_code} violations" in result.output
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("kind", MEASUREMENTS)
-def test_bytes_repeat_for_a_seed(kind):
+def test_bytes_per_entry_repeat_for_same_seed(kind):
     MEASUREMENTS[kind](ENTRY_COUNT, 1)  # warms up what the process caches
     first, second = MEASUREMENTS[kind](ENTRY_COUNT, 1), MEASUREMENTS[kind](ENTRY_COUNT, 1)
     assert first > 0 and abs(first - second) <= REPEAT_TOLERANCE
@@ -41,7 +41,7 @@
         (servers.Pool, ("pool",)),
     ],
 )
-def test_an_added_field_is_detected(monkeypatch, state_class, kinds):
+def test_added_field_is_detected(monkeypatch, state_class, kinds):
     before, init = {kind: MEASUREMENTS[kind](ENTRY_COUNT, 1) for kind in kinds}, state_class.__init__
 
     def init_with_extra_field(self, *args):
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -21,8 +21,8 @@
 CUSTOMER_INIT = decisions.CustomerQuota.__init__
 
 
-def owned_by_every_gateway(self, plan, request, settings, now):
-    """Makes each gateway consider itself the owner of a customer."""
+def init_owned_by_every_gateway(self, plan, request, settings, now):
+    """Makes each gateway the owner of its customers."""
     CUSTOMER_INIT(self, plan, request, settings, now)
     self.owners = [settings.gateway_index] if self.owners else []
 
@@ -33,7 +33,7 @@
     }
 
 
-def test_the_same_seed_gives_the_same_slopes_and_a_page_can_state_them_all(monkeypatch, tmp_path):
+def test_slopes_repeat_for_same_seed_and_their_ranges_are_readable(monkeypatch, tmp_path):
     monkeypatch.setattr(hollow, "SMALL_SIZES", TINY_SIZES)
     slopes = list(hollow.measure(True, 1))
     assert slopes == list(hollow.measure(True, 1)) != list(hollow.measure(True, 2))
@@ -61,25 +61,25 @@
             "home.buckets.customer",
             decisions.CustomerQuota,
             "__init__",
-            owned_by_every_gateway,
+            init_owned_by_every_gateway,
         ),
         (hollow.server_contact_slopes, "gateway.servers.met", decisions, "SELECTION_JITTER", 100.0),
     ],
 )
-def test_a_slope_grows_with_what_it_measures(monkeypatch, measurement, name, target, attribute, value):
+def test_slope_grows_with_what_it_measures(monkeypatch, measurement, name, target, attribute, value):
     before = slope_values(1, measurement)[name]
     monkeypatch.setattr(target, attribute, value)
     assert slope_values(1, measurement)[name] > 1.2 * before
 
 
-def test_without_peers_nothing_is_sent_between_gateways():
+def test_no_peer_messages_if_peers_are_disabled():
     assert hollow.run_and_count(FleetSpec(4, 20.0), 1, 1.0).network.traffic.sent > 0
     fleet = hollow.run_and_count(FleetSpec(4, 20.0, peers_enabled=False), 1, 1.0)
     assert fleet.request_count > 0 and fleet.network.traffic.sent == 0
     assert not any(gateway.owned_quotas for gateway in fleet.gateways)
 
 
-def test_every_datagram_is_delivered_lost_partitioned_or_over_the_limit():
+def test_every_datagram_is_delivered_lost_partitioned_or_over_limit():
     clock, delivered = Clock(1), []
     network = Network(
         clock,
@@ -114,7 +114,7 @@
         network.send(0, 1, bytes(257))
 
 
-def test_deltas_applied_in_order_give_the_whole_list():
+def test_deltas_applied_in_order_yield_full_list():
     clock, server_states = Clock(3), {}
     lists: list[dict[str, api.Server]] = [{}, {}, {}]
     kinds = []
@@ -152,7 +152,7 @@
     )
 
 
-def test_a_restart_and_a_zone_crash_are_sent_entry_by_entry():
+def test_restart_and_zone_crash_send_only_changed_entries():
     fleet = Fleet(FleetSpec(2, 0.0, servers=12), 1)
     fleet.discovery.restart("t0")
     assert not fleet.discovery.restart("t0")  # its restart is in progress
@@ -184,7 +184,7 @@
         server.receive(Attempt(i, 0, i, 0, "t", 1.0, 0.0))
 
 
-def test_a_table_server_rejects_attempts_beyond_its_queue_limit():
+def test_table_server_rejects_attempts_beyond_queue_limit():
     clock, server, results = table_server(cores=2, queue_limit=3, slow_start_duration=0.0)
     send_attempts(server, 7)
     assert results == [(0.0, Result.REJECTED)] * 2 and server.load_report() == {"inflight": 5.0, "queue": 3.0}
@@ -204,7 +204,7 @@
     assert len(results) == 8 and server.client_gateways == set(range(7))
 
 
-def test_a_table_server_has_a_slow_start():
+def test_table_server_has_slow_start():
     clock, server, results = table_server(cores=1, slow_start_capacity=0.25, slow_start_duration=10.0)
     send_attempts(server, 1)
     clock.run(20.0)
@@ -213,14 +213,14 @@
     assert results == [(4.0, Result.OK), (21.0, Result.OK)]
 
 
-def test_a_meter_counts_units_over_quota():
+def test_quota_meter_counts_units_over_quota():
     meter = QuotaMeter(rate=1.0, burst=2.0, tokens=2.0, updated_at=0.0)
     for now in 0.0, 0.0, 0.0, 1.0, 1.5:
         meter.record(now, 1.0)
     assert (meter.used, meter.over_quota) == (5.0, 1.5)
 
 
-def test_arrivals_follow_the_rate_the_popularity_and_the_gateway_sets():
+def test_arrivals_follow_rate_popularity_and_gateway_sets():
     customers = Customers(Clock(1), 10, 5.0)
     arrivals = [customers.draw_arrival() for _ in range(5000)]
     assert sum(delay for delay, _, _ in arrivals) == pytest.approx(100.0, rel=0.1)
--- a/tests/test_real.py
+++ b/tests/test_real.py
@@ -38,7 +38,7 @@
     return status, json.loads(body) if status == 200 else body.decode()
 
 
-def test_discovery_serves_snapshots_and_the_changes_since_a_version(discovery):
+def test_discovery_serves_snapshots_and_changes_since_version(discovery):
     status, initial = get(discovery)
     assert (status, initial["seq"], initial["whole"], len(initial["hosts"])) == (200, 1, True, 5)
     entries = {entry["host"]: entry for entry in initial["hosts"]}
@@ -54,7 +54,7 @@
     assert get(discovery, "?since=41&timeout_ms=20000")[1]["whole"]
 
 
-def test_a_watch_waits_for_a_new_version_or_its_timeout(discovery):
+def test_watch_waits_for_new_version_or_timeout(discovery):
     empty = {"seq": 1, "whole": False, "hosts": []}
     assert get(discovery, "?since=1&timeout_ms=1") == (200, empty)
     with ThreadPoolExecutor() as pool:
@@ -75,12 +75,12 @@
         ("?since=1&timeout_ms=60001", "60000"),
     ],
 )
-def test_an_invalid_query_is_rejected(discovery, query, message):
+def test_invalid_query_is_rejected(discovery, query, message):
     status, text = get(discovery, query)
     assert status == 400 and message in text
 
 
-def test_counted_bytes_equal_those_on_the_wire(discovery):
+def test_counted_bytes_equal_bytes_on_wire(discovery):
     call = b"GET /discovery/hosts?since=0&timeout_ms=5 HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
     host, _, port = discovery.address.rpartition(":")
     with socket.create_connection((host, int(port)), 20) as client, client.makefile("rb") as file:
@@ -96,7 +96,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_watching_client_has_the_list_after_random_changes(seed):
+def test_watching_client_has_list_after_random_changes(seed):
     """Guards against a list that diverges when deltas, snapshots and several changes at once are mixed."""
     rng, servers = random.Random(seed), {}
     applied_versions: asyncio.Queue[int] = asyncio.Queue()
@@ -128,7 +128,7 @@
 
 
 @pytest.mark.parametrize("error", [RuntimeError, KeyboardInterrupt])
-def test_a_gateway_is_stopped_and_its_files_are_removed_after_an_exception(discovery, error):
+def test_gateway_is_stopped_and_files_removed_after_exception(discovery, error):
     with pytest.raises(error), GatewayProcess(discovery.address) as gateway:
         directory = Path(gateway.directory.name)
         gateway.wait_ready()
@@ -143,7 +143,7 @@
         os.kill(gateway.pid, 0)
 
 
-def test_a_gateway_that_exits_at_its_start_raises_with_its_log():
+def test_gateway_that_exits_at_startup_raises_with_log_line():
     invalid = {name: value for name, value in DEFAULT_SETTINGS.items() if name != "classes"}
     gateway = GatewayProcess(UNREACHABLE, settings=invalid)
     with pytest.raises(GatewayError, match=r"exited with 2: .*classes"), gateway:
--- a/thymehinge/emulator/__main__.py
+++ b/thymehinge/emulator/__main__.py
@@ -20,7 +20,7 @@
 
 
 def run_suites(small: bool, seed: int, suites: tuple[str, ...]) -> list[Slope]:
-    """Run the named suites, or all of them if none is named, and print each slope once it is measured."""
+    """Run the named suites, or all if none is named; print and return the slopes."""
     slopes = []
     for suite in suites or tuple(SUITES):
         started_at = time.monotonic()
@@ -67,7 +67,7 @@
     violations = find_violations(run_suites(True, seed, ()), ranges)
     for line in violations:
         click.echo(line, err=True)
-    click.echo(f"{len(ranges)} slopes, {len(violations)} faults")
+    click.echo(f"{len(ranges)} slopes, {len(violations)} violations")
     sys.exit(bool(violations))
 
 
--- a/thymehinge/emulator/clock.py
+++ b/thymehinge/emulator/clock.py
@@ -7,7 +7,7 @@
 
 import numpy
 
-START_TIME = 100.0  # seconds; above 0, since a server list gives 0 as the start of a long-running server
+START_TIME = 100.0  # seconds; above 0, as a server's `started_at` of 0 means long ago
 
 
 class Clock:
--- a/thymehinge/emulator/customers.py
+++ b/thymehinge/emulator/customers.py
@@ -1,4 +1,4 @@
-"""Simulated customers: popularity, quota, set of gateways, and the use of each quota."""
+"""Simulated customers: popularity, quota, use of the quota, and the set of gateways that they use."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from thymehinge.emulator.clock import Clock
 
 CUSTOMERS_PER_GATEWAY = 50  # default
-ZIPF_EXPONENT = 0.8  # of popularity by rank
-MIN_SPREAD = 3  # gateways of a customer's set, so that one restart does not cut the customer off
-MAX_CUSTOMER_SHARE = 0.25  # of a gateway's traffic from one customer; larger customers get more gateways
-GATEWAY_WEIGHT_SHAPE = 4.0  # of the gamma distribution of traffic over gateways: deviation of half the mean
-MIN_QUOTA_RATE, PLAN_COUNT = 1 / 16, 20  # units/s of the smallest plan; each further one has twice the rate
-QUOTA_HEADROOM = 1.25  # least ratio of a customer's quota to its mean demand
-SHORT_QUOTA_SHARE = 0.1  # of the customers, who demand more than their quota
-SHORT_QUOTA_HEADROOM = 0.5  # the same ratio for them
-BURST_SECONDS = 4.0  # seconds of a plan's rate that a full bucket holds
-MIN_BURST = 4.0  # units that a full bucket holds at least
+ZIPF_EXPONENT = 0.8  # of the popularity by rank
+MIN_SPREAD = 3  # gateways in a customer's set, so that one restart does not cut the customer off
+MAX_CUSTOMER_SHARE = 0.25  # of a gateway's mean traffic, for one customer; larger customers get more gateways
+GATEWAY_WEIGHT_SHAPE = 4.0  # of the gamma distribution of traffic over gateways; deviation is half the mean
+MIN_QUOTA_RATE, PLAN_COUNT = 1 / 16, 20  # units/s of the smallest plan; rates double from plan to plan
+QUOTA_HEADROOM = 1.25  # minimum ratio of a customer's quota to its mean demand
+SHORT_QUOTA_SHARE = 0.1  # fraction of the customers, whose mean demand exceeds their quota
+SHORT_QUOTA_HEADROOM = 0.5  # minimum ratio for those customers
+BURST_SECONDS = 4.0  # burst of a plan, in seconds of its rate
+MIN_BURST = 4.0  # units
 BATCH_SIZE = 1024  # arrivals drawn at once, for speed
 
 
@@ -28,14 +28,15 @@
 class QuotaMeter:
     """An exact token bucket that records a customer's use within and over its quota, in units."""
 
-    rate: float
+    rate: float  # units/s
     burst: float
     tokens: float
-    updated_at: float
+    updated_at: float  # seconds, simulated time
     used: float = 0.0
     over_quota: float = 0.0
 
     def record(self, now: float, units: float) -> None:
+        """Take units from the bucket; those that it does not hold count as over the quota."""
         self.tokens, self.updated_at = min(self.burst, self.tokens + self.rate * (now - self.updated_at)), now
         covered = min(units, self.tokens)
         self.tokens -= covered
@@ -55,7 +56,7 @@
     """Poisson arrivals from customers of Zipf-distributed popularity.
 
     Each gateway has `per_gateway` customers and `request_rate` requests/s on average. Raises ValueError for
-    values that make no fleet.
+    an invalid number or rate.
     """
 
     def __init__(
@@ -79,6 +80,7 @@
             if request_rate > 0
             else numpy.ones(count)
         )
+        # Gateways in each customer's set, which starts at first_gateway and wraps around.
         self.spread = [int(s) for s in numpy.clip(spread, min(MIN_SPREAD, gateways), gateways)]
         self.first_gateway = [int(f) for f in rng.integers(gateways, size=count)]
         weights = rng.gamma(GATEWAY_WEIGHT_SHAPE, 1 / GATEWAY_WEIGHT_SHAPE, size=gateways)
@@ -91,10 +93,10 @@
         plans = make_plans()
         self.plans = [plans[min(int(index), len(plans) - 1)] for index in plan_indexes]
         self.meters = [QuotaMeter(p.rate, p.burst, p.burst, clock.now) for p in self.plans]
-        self.arrivals: list[tuple[float, int, float]] = []  # drawn in advance
+        self.arrivals: list[tuple[float, int, float]] = []  # delay (seconds), customer and gateway quantile
 
     def draw_arrival(self) -> tuple[float, int, int]:
-        """Draw the next arrival: seconds until then, the customer, and the gateway that it uses."""
+        """Return the next arrival: seconds since the one before, the customer, and the gateway it uses."""
         if not self.arrivals:
             rng = self.clock.rng
             delays = rng.exponential(1 / self.total_rate, BATCH_SIZE).tolist()
--- a/thymehinge/emulator/discovery.py
+++ b/thymehinge/emulator/discovery.py
@@ -9,10 +9,10 @@
 from thymehinge.emulator.clock import Clock
 from thymehinge.interface import LifecycleState, ListKind
 
-UPDATE_DELAY = 0.05, 0.5  # seconds, uniform: from a change until a gateway receives it
+UPDATE_DELAY = 0.05, 0.5  # seconds from a change until a gateway receives it, uniformly distributed
 DETECTION_DELAY = 1.0  # seconds until discovery detects a crash
-DRAIN_TIME = 2.0  # seconds, before a restart
-STARTUP_TIME = 3.0  # seconds, of a restart
+DRAIN_TIME = 2.0  # seconds from the start of a restart until the server stops
+STARTUP_TIME = 3.0  # seconds from the stop until the server runs again
 REPAIR_TIME = 10.0  # seconds until a crashed server runs again
 
 
@@ -70,10 +70,10 @@
     ) -> None:
         self.clock, self.deliver_list, self.on_state_change = clock, deliver_list, on_state_change
         self.server_list: dict[str, api.Server] = {}
-        self.changes: list[api.Server] = []  # since the start; their number is the list's version
+        self.changes: list[api.Server] = []  # since the start; the number of changes is the list's version
         self.sent_versions: list[int | None] = [None] * gateways  # None before a gateway's first list
         self.delta_scheduled = [False] * gateways
-        self.entries_sent = [0] * gateways
+        self.entries_sent = [0] * gateways  # list entries, by gateway
         self.out_of_service: set[str] = set()  # servers that restart or have crashed
         racks: dict[int, list[str]] = {}
         zones: dict[str, list[str]] = {}
@@ -84,7 +84,7 @@
             racks.setdefault(rack, []).append(name)
             zones.setdefault(zone, []).append(name)
         single_servers = [[name] for name in self.server_list]
-        self.groups: dict[str, list[list[str]]] = {
+        self.groups: dict[str, list[list[str]]] = {  # servers hit by one event, by kind of event
             "restart": single_servers,
             "server": single_servers,
             "rack": list(racks.values()),
@@ -125,7 +125,7 @@
         self.clock.call_later(STARTUP_TIME, self.start, entry)
 
     def crash(self, names: Iterable[str]) -> None:
-        """Stop servers without a drain; they are delisted after DETECTION_DELAY, back after REPAIR_TIME."""
+        """Stop servers without a drain; delist them after DETECTION_DELAY, start them after REPAIR_TIME."""
         for name in names:
             if name not in self.out_of_service:
                 self.out_of_service.add(name)
--- a/thymehinge/emulator/entries.py
+++ b/thymehinge/emulator/entries.py
@@ -1,8 +1,8 @@
 """Memory and processor time that one more entry of each kind of state costs a gateway.
 
 Memory is measured by tracemalloc as the growth between two sizes, divided by the entries in between; it
-depends on the version of Python only. Processor time is that of the decision module, relative to one request
-at 20 servers.
+depends only on the version of Python. Processor time is that of the decision module, relative to a request at
+20 servers.
 """
 
 from __future__ import annotations
@@ -32,20 +32,20 @@
 
 FEW_ENTRIES = 20  # servers or customers, the smaller size for processor time
 MANY_ENTRIES = 2_000  # the larger size
-LARGE_LIST_SIZES = (20_000, 200_000)  # servers, at full sizes only; the last takes 0.5 GB
+LARGE_LIST_SIZES = (20_000, 200_000)  # servers, at full sizes only; the larger list takes 0.5 GB
 LARGE_CUSTOMER_COUNT = 50_000  # at full sizes only
 GROWTH_FACTOR = 4  # between the two sizes for memory: a power of two, so hash tables are equally full at both
 ENTRY_COUNTS = {True: 500, False: 4_000}  # the smaller size for memory, keyed by `small`
-DELISTED_SERVERS = 250  # the smaller size for them; the module keeps at most 1,024
-PENDING_REQUESTS = 250  # the smaller size for them; each takes time in proportion to the servers
+DELISTED_SERVERS = 250  # the smaller size for delisted servers; the module keeps at most 1,024
+PENDING_REQUESTS = 250  # the smaller size for pending requests; the time of each grows with the servers
 TIMING_ROUNDS = 40
-CALLS_PER_ROUND = 40  # requests timed together, so that they take long against the clock's resolution
-RESPONSE_TIME = 0.01  # seconds from a request to its answer, which the next request follows
-SHORT_RESPONSE_TIME = 1e-5  # seconds; short enough for many customers to come before the first is dropped
+CALLS_PER_ROUND = 40  # requests timed together, as the clock is too coarse for one
+RESPONSE_TIME = 0.01  # seconds from a request to its answer; the next request is sent then
+SHORT_RESPONSE_TIME = 1e-5  # seconds; so short that no customer becomes idle before all have sent a request
 QUOTA_REQUEST_INTERVAL = 0.001  # seconds
 QUOTA_REQUEST_WAIT = 60.0  # seconds that a quota request may wait; its answer is kept for longer
-GATEWAY_COUNT = 200  # of the tier that sends quota requests to an owner
-CUSTOMER_COUNT = 200  # that requests and quota requests come from, in turn
+GATEWAY_COUNT = 200  # gateways in the tier of a quota owner
+CUSTOMER_COUNT = 200  # customers that send requests and quota requests in turn
 START_TIME = 1_000.0  # seconds, simulated time
 CLASSES = (
     api.RequestClass("table-view", latency_target=0.3, timeout=1.0),
@@ -117,7 +117,10 @@
 
 
 class SteppingClock:
-    """A clock that advances by a microsecond per call, and returns a new float object each time."""
+    """A clock that advances by a microsecond per call.
+
+    Each call returns a new float object, as a real clock does, so that stored times count as memory.
+    """
 
     def __init__(self) -> None:
         self.now = START_TIME
@@ -151,12 +154,12 @@
         SteppingClock(),
         Gateway(SINGLE_GATEWAY_SETTINGS, seed, START_TIME),
     )
-    servers = Servers(15.0, 0.25, 1024, clock, lambda when, callback: None, lambda *end: None)
+    servers = Servers(15.0, 0.25, 1024, clock, lambda when, callback: None, lambda *outcome: None)
 
     def add_entries(first: int, last: int) -> None:
         hosts = host_list(last - first, rng, first)
         servers.add(hosts.servers, hosts.addresses)
-        gateway.handle(  # holds the servers' names, as it does in a gateway process
+        gateway.handle(  # also holds the servers' names, as in a gateway process
             START_TIME, api.ServerList(ListKind.DELTA, 1, hosts.servers)
         )
 
@@ -164,7 +167,7 @@
 
 
 def delisted_bytes(count: int, seed: int) -> float:
-    """Return the bytes of a server that is missing from a snapshot and kept for a while."""
+    """Return the bytes of a delisted server, which the decision module keeps until it expires."""
     rng, gateway = random.Random(seed), Gateway(SINGLE_GATEWAY_SETTINGS, seed, START_TIME)
 
     def add_entries(first: int, last: int) -> None:
@@ -206,7 +209,7 @@
 
 
 def quota_answer_bytes(count: int, seed: int) -> float:
-    """Return the bytes of an answer that an owner keeps for repeated quota requests, without the bucket."""
+    """Return the bytes of an answer that an owner keeps in case a request is repeated, without the bucket."""
     owner = QuotaOwner(seed)
 
     def add_entries(first: int, last: int) -> None:
@@ -245,22 +248,24 @@
 
     def add_entries(first: int, last: int) -> None:
         for i in range(first, last):
-            words = [bytes(bytearray(READ_COMMAND)), b"%016x" % 7, b"%016x" % rng.getrandbits(64)]
-            exchange = Exchange([*words, b"c=table-view,t=club,d=%d" % (900 + i % 100)], accepted_values)
+            arguments = [bytes(bytearray(READ_COMMAND)), b"%016x" % 7, b"%016x" % rng.getrandbits(64)]
+            exchange = Exchange([*arguments, b"c=table-view,t=club,d=%d" % (900 + i % 100)], accepted_values)
             exchange.connection, exchange.received_at = client, driver.clock()
             driver.on_request(exchange)
 
-    result, sent = (
+    request_size, sent_count = (
         bytes_per_entry(add_entries, count),
         sum(len(e.attempts) for e in driver.exchanges.values()),
     )
-    if sent != GROWTH_FACTOR * count:
-        raise RuntimeError(f"{sent} of {GROWTH_FACTOR * count} requests were sent; all must be in flight")
-    return result
+    if sent_count != GROWTH_FACTOR * count:
+        raise RuntimeError(
+            f"{sent_count} of {GROWTH_FACTOR * count} requests were sent; all must be in flight"
+        )
+    return request_size
 
 
 def message_bytes() -> tuple[int, float]:
-    """Return the bytes of a message between gateways without entries, and of an entry."""
+    """Return the size in bytes of a peer message without entries, and of each entry."""
     entry = QuotaCodec.pack_entry(QuotaCodec.REQUEST, 1, 7, 0, 1.0, 0.3, 1.0)
     empty, full = (len(QuotaCodec.encode(1.0, [entry] * count)) for count in (0, QuotaCodec.MAX_ENTRIES))
     return empty, (full - empty) / QuotaCodec.MAX_ENTRIES
@@ -270,19 +275,19 @@
 
 
 class RequestLoad:
-    """A gateway without peers that serves one request after another, and its timers when they are due.
+    """A gateway without peers that serves one request after another and runs its timers when they are due.
 
-    Its periodic work of each second is disabled; that is measured by itself.
+    Its controller, which runs once per second, is disabled; `processor_slopes` measures it separately.
     """
 
     def __init__(self, hosts: HostList, seed: int) -> None:
-        self.now, self.last_request, self.timer = START_TIME, 0, (math.inf, 0)
+        self.now, self.last_request_id, self.timer = START_TIME, 0, (math.inf, 0)
         self.gateway = Gateway(SINGLE_GATEWAY_SETTINGS, seed, START_TIME)
         self.gateway.next_control_at = math.inf
         self.deliver(api.ServerList(ListKind.SNAPSHOT, 1, hosts.servers))
 
     def deliver(self, event: api.Event) -> list[api.Action]:
-        """Pass an event to the gateway, remember the timer that it sets, and return its actions."""
+        """Pass an event to the gateway, record the timer that it sets, and return its actions."""
         actions = self.gateway.handle(self.now, event)
         for action in actions:
             if isinstance(action, api.SetTimer):
@@ -291,22 +296,28 @@
 
     def send_request(self, customer: int | None = None, response_time: float = RESPONSE_TIME) -> None:
         """Send a request and answer it after `response_time` seconds; by default, customers take turns."""
-        self.last_request += 1
-        customer = self.last_request % CUSTOMER_COUNT if customer is None else customer
-        class_name = CLASSES[self.last_request % len(CLASSES)].name
-        actions = self.deliver(api.Request(self.last_request, 1.0, class_name, PLAN.name, customer))
+        self.last_request_id += 1
+        customer = self.last_request_id % CUSTOMER_COUNT if customer is None else customer
+        class_name = CLASSES[self.last_request_id % len(CLASSES)].name
+        actions = self.deliver(api.Request(self.last_request_id, 1.0, class_name, PLAN.name, customer))
         server = next(action.server for action in actions if isinstance(action, api.Send))
         self.now += response_time
         if self.timer[0] <= self.now:
             self.deliver(api.TimerDue(self.timer[1]))
         self.deliver(
             api.Outcome(
-                self.last_request, 0, server, api.Result.OK, response_time, True, load_report={"queue": 1.0}
+                self.last_request_id,
+                0,
+                server,
+                api.Result.OK,
+                response_time,
+                True,
+                load_report={"queue": 1.0},
             )
         )
 
     def drain(self) -> None:
-        """Advance until only the gateway's periodic timer is left, then run its work of a second once."""
+        """Advance until only the gateway's periodic timer is left, then run its controller once."""
         while len(self.gateway.timers) > 1:
             self.now += RESPONSE_TIME
             self.deliver(api.TimerDue(self.timer[1]))
@@ -327,7 +338,7 @@
             self.gateway.owned_quota(START_TIME, key, PLAN, 1.0)
 
     def receive_quota_request(self, wait: float) -> None:
-        """Handle a quota request that may wait so many seconds; its answer is sent at the next event."""
+        """Handle a quota request that may wait `wait` seconds; its answer is sent at the next event."""
         self.now, self.request_count = self.now + QUOTA_REQUEST_INTERVAL, self.request_count + 1
         tag, sender = divmod(self.request_count, GATEWAY_COUNT - 1)
         entry = QuotaCodec.pack_entry(
@@ -346,7 +357,7 @@
 
 
 def gateway_with_servers(hosts: HostList, seed: int) -> Gateway:
-    """Return a gateway with these servers, each of which has answered a request."""
+    """Return a gateway with these servers, each of which has a latency estimate."""
     gateway, rng = Gateway(SINGLE_GATEWAY_SETTINGS, seed, START_TIME), random.Random(seed)
     gateway.handle(START_TIME, api.ServerList(ListKind.SNAPSHOT, 1, hosts.servers))
     for server in gateway.fleet.servers.values():
@@ -355,7 +366,7 @@
 
 
 def gateway_with_customers(count: int, seed: int) -> Gateway:
-    """Return a gateway with so many customers, each of which has just sent a request."""
+    """Return a gateway with `count` customers, each of which has just sent a request."""
     gateway = Gateway(SINGLE_GATEWAY_SETTINGS, seed, START_TIME)
     for key in range(count):
         request = api.Request(key, 1.0, CLASSES[0].name, PLAN.name, key)
@@ -390,14 +401,14 @@
             f"change {size}": (partial(gateway.handle, START_TIME, delta), 5 * CALLS_PER_ROUND),
             f"read {size}": (partial(parse_host_list, raw), repeats),
         }
-    calls["ask"] = partial(QuotaOwner(seed).receive_quota_request, 0.0), CALLS_PER_ROUND
+    calls["quota request"] = partial(QuotaOwner(seed).receive_quota_request, 0.0), CALLS_PER_ROUND
     if not small:
         for size in LARGE_LIST_SIZES:
             calls[f"request {size}"] = (
                 RequestLoad(host_list(size, rng), seed).send_request,
                 max(1, LARGE_LIST_SIZES[0] // size * 4),
             )
-        calls["crowd"] = (
+        calls["many customers"] = (
             partial(gateway_with_customers(LARGE_CUSTOMER_COUNT, seed).run_controller, START_TIME),
             1,
         )
@@ -408,7 +419,7 @@
     """Return the processor time of each function in seconds per call, by name, for each round.
 
     Each round times all functions, so that other load on the machine affects all alike. Garbage collection is
-    off: its cost depends on all objects of this process, not on the gateway being timed.
+    disabled: its cost depends on all objects of this process, not only on the gateway being timed.
     """
     calls = timed_calls(small, seed)
     gc.collect()
@@ -429,14 +440,14 @@
         return statistics.median(cost(seconds) / seconds[base] for seconds in rounds)
 
     def per_thousand_entries(name: str) -> float:
-        """Return the cost of a thousand entries in requests, from the difference between the two sizes."""
+        """Return the cost of 1,000 entries, relative to a request, from the difference between two sizes."""
         scale = 1_000 / (MANY_ENTRIES - FEW_ENTRIES)
         return median_ratio(
             lambda seconds: scale * (seconds[f"{name} {MANY_ENTRIES}"] - seconds[f"{name} {FEW_ENTRIES}"])
         )
 
     def per_request(name: str) -> float:
-        """Return the cost of a call in requests."""
+        """Return the cost of a call, relative to a request."""
         return median_ratio(lambda seconds: seconds[name])
 
     def milliseconds(name: str) -> float:
@@ -448,8 +459,8 @@
         name, description = f"gateway.cpu.servers_{size}", f"request, {size:,} over {FEW_ENTRIES} servers"
         yield Slope(name, per_request(f"request {size}"), "times", description, checked=False)
     for name, call_name, description in (
-        ("beat_server", "servers", "work of each second"),
-        ("beat_customer", "customers", "work of each second"),
+        ("beat_server", "servers", "controller run"),
+        ("beat_customer", "customers", "controller run"),
         ("list_entry", "list", "applying an unchanged list"),
         ("read_entry", "read", "parsing a list"),
     ):
@@ -462,7 +473,10 @@
     change = median_ratio(lambda seconds: seconds[f"change {MANY_ENTRIES}"], f"change {FEW_ENTRIES}")
     yield Slope("gateway.cpu.change", change, "times", f"one entry's change, {sizes}")
     yield Slope(
-        "gateway.cpu.ask", per_request("ask"), "requests an ask", "quota request and answer, one in a message"
+        "gateway.cpu.ask",
+        per_request("quota request"),
+        "requests an ask",
+        "quota request and answer, one in a message",
     )
     yield Slope(
         "time.request", milliseconds(base_call), "ms", f"module, {FEW_ENTRIES} servers", checked=False
@@ -470,9 +484,9 @@
     if not small:
         yield Slope(
             "time.beat",
-            milliseconds("crowd"),
+            milliseconds("many customers"),
             "ms",
-            f"work of a second, {LARGE_CUSTOMER_COUNT:,} customers",
+            f"controller run, {LARGE_CUSTOMER_COUNT:,} customers",
             checked=False,
         )
 
--- a/thymehinge/emulator/fleet.py
+++ b/thymehinge/emulator/fleet.py
@@ -19,7 +19,7 @@
 NETWORK_DELAY = 0.001  # seconds, one way between a gateway and a table server
 MEAN_SERVICE_TIME = 0.02  # seconds of one core
 SERVICE_TIME_SHAPE = 2.0  # of the gamma distribution of service times
-TARGET_UTILIZATION = 0.5  # of the table servers, if their number follows the traffic
+TARGET_UTILIZATION = 0.5  # of the table servers, if FleetSpec.servers is 0
 CLASSES = (
     api.RequestClass("table-view", latency_target=0.3, timeout=1.0, idempotency=Idempotency.SAFE),
     api.RequestClass(
@@ -37,7 +37,7 @@
     QuotaCodec.GRANT_EXCESS,
     QuotaCodec.DENY,
     QuotaCodec.QUEUED,
-)  # entries that answer a quota request
+)  # kinds of quota entry that answer a quota request
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,7 +46,7 @@
 
     gateways: int
     request_rate: float  # requests/s at a gateway
-    servers: int = 0  # table servers; 0: as many as the traffic needs
+    servers: int = 0  # table servers; 0 means as many as TARGET_UTILIZATION requires
     customers_per_gateway: int = CUSTOMERS_PER_GATEWAY
     regions: int = 3
     peers_enabled: bool = True
@@ -55,7 +55,7 @@
     event_rates: EventRates = field(default_factory=EventRates)
 
     def __post_init__(self) -> None:
-        """Raise ValueError for an impossible size."""
+        """Raise ValueError if a number is out of range."""
         if self.servers < 0 or self.regions < 1 or not 0 <= self.receive_limit < math.inf:
             raise ValueError(
                 f"invalid fleet {self}: servers and receive_limit must be 0 or more, regions 1 or more"
@@ -80,10 +80,10 @@
         self.settings = [self.make_settings(i, f"r{regions[i]}z0") for i in indexes]
         self.gateways = [self.make_gateway(i) for i in indexes]
         self.incarnations = [0] * spec.gateways
-        self.attempts: list[dict[int, list[Attempt]]] = [{} for _ in indexes]  # by gateway and request
-        self.service_times: dict[int, float] = {}  # by request, seconds of one core
-        self.uncharged: dict[int, int] = {}  # by request: the customer, until the request is metered
-        self.last_request = 0
+        self.attempts: list[dict[int, list[Attempt]]] = [{} for _ in indexes]  # by gateway and request id
+        self.service_times: dict[int, float] = {}  # by request id, seconds of one core
+        self.unmetered: dict[int, int] = {}  # customers by request id, until the request is metered
+        self.last_request_id = 0
         self.network = Network(self.clock, regions, spec.receive_limit, self.deliver_message, spec.loss_rate)
         self.servers: dict[str, TableServer] = {}
         self.reset_counters()
@@ -120,8 +120,8 @@
 
     def reset_counters(self) -> None:
         self.request_count, self.counting_since = 0, self.clock.now
-        self.entries_sent: Counter[int] = Counter()  # to peers, by kind
-        self.answers_delivered = 0  # entries that answer a quota request
+        self.quota_entries_sent: Counter[int] = Counter()  # to peers, by kind of entry
+        self.quota_answers_delivered = 0  # entries that answer a quota request
         self.network.traffic = TrafficCounters()
         self.contacted_servers: list[set[str]] = [set() for _ in self.gateways]  # by gateway
         for server in self.servers.values():
@@ -145,22 +145,22 @@
     def generate_request(self, customer: int, gateway: int) -> None:
         """Deliver a customer's new request to a gateway, and schedule the next arrival."""
         self.schedule_arrival()
-        self.last_request += 1
+        self.last_request_id += 1
         self.request_count += 1
         rng, customers = self.clock.rng, self.customers
         request_class = CLASSES[rng.random() >= VIEW_SHARE]
-        self.service_times[self.last_request], self.uncharged[self.last_request] = (
+        self.service_times[self.last_request_id], self.unmetered[self.last_request_id] = (
             MEAN_SERVICE_TIME * rng.gamma(SERVICE_TIME_SHAPE, 1 / SERVICE_TIME_SHAPE),
             customer,
         )
-        self.attempts[gateway][self.last_request] = []
+        self.attempts[gateway][self.last_request_id] = []
         plan, spread, first_gateway = (
             customers.plans[customer].name,
             customers.spread[customer],
             customers.first_gateway[customer],
         )
         request = api.Request(
-            self.last_request,
+            self.last_request_id,
             request_class.timeout,
             request_class.name,
             plan,
@@ -169,44 +169,56 @@
             first_gateway=first_gateway,
         )
         self.deliver(gateway, self.incarnations[gateway], request)
-        self.clock.call_later(request_class.timeout + 1.0, self.discard_request, gateway, self.last_request)
+        self.clock.call_later(
+            request_class.timeout + 1.0, self.discard_request, gateway, self.last_request_id
+        )
 
-    def discard_request(self, gateway: int, request: int) -> None:
+    def discard_request(self, gateway: int, request_id: int) -> None:
         """Drop the state of a request that has passed its deadline."""
-        self.attempts[gateway].pop(request, None)
-        self.service_times.pop(request, None)
-        self.uncharged.pop(request, None)
+        self.attempts[gateway].pop(request_id, None)
+        self.service_times.pop(request_id, None)
+        self.unmetered.pop(request_id, None)
 
-    def deliver(self, index: int, incarnation: int, event: api.Event) -> None:
+    def deliver(self, gateway: int, incarnation: int, event: api.Event) -> None:
         """Pass an event to a gateway, unless it has restarted since, and carry out the actions it returns."""
-        if incarnation != self.incarnations[index]:
+        if incarnation != self.incarnations[gateway]:
             return
-        for action in self.gateways[index].handle(self.clock.now, event):
+        for action in self.gateways[gateway].handle(self.clock.now, event):
             match action:
                 case api.SetTimer():
                     timer_due = api.TimerDue(action.tag)
                     self.clock.call_later(
-                        action.due_at - self.clock.now, self.deliver, index, incarnation, timer_due
+                        action.due_at - self.clock.now, self.deliver, gateway, incarnation, timer_due
                     )
                 case api.Send():
-                    self.send_attempt(index, incarnation, action)
+                    self.send_attempt(gateway, incarnation, action)
                 case api.SendToPeer():
-                    self.send_to_peers(index, action)
+                    self.send_to_peers(gateway, action)
                 case api.Cancel():
                     self.finish_attempt(
-                        self.attempts[index][action.request_id][action.attempt], Result.CANCELLED
+                        self.attempts[gateway][action.request_id][action.attempt], Result.CANCELLED
                     )
 
-    def send_attempt(self, index: int, incarnation: int, action: api.Send) -> None:
+    def send_attempt(self, gateway: int, incarnation: int, action: api.Send) -> None:
         """Send an attempt to a table server; the first attempt of a request is metered."""
-        attempts, request, now = self.attempts[index][action.request_id], action.request_id, self.clock.now
+        attempts, request_id, now = (
+            self.attempts[gateway][action.request_id],
+            action.request_id,
+            self.clock.now,
+        )
         attempt = Attempt(
-            index, incarnation, request, len(attempts), action.server, self.service_times[request], now
+            gateway,
+            incarnation,
+            request_id,
+            len(attempts),
+            action.server,
+            self.service_times[request_id],
+            now,
         )
         attempts.append(attempt)
-        if (customer := self.uncharged.pop(request, None)) is not None:
+        if (customer := self.unmetered.pop(request_id, None)) is not None:
             self.customers.meters[customer].record(now, 1.0)
-        self.contacted_servers[index].add(action.server)
+        self.contacted_servers[gateway].add(action.server)
         self.clock.call_later(NETWORK_DELAY, self.servers[action.server].receive, attempt)
         self.clock.call_later(action.deadline - now, self.finish_attempt, attempt, Result.TIMEOUT)
 
@@ -225,7 +237,7 @@
         attempt.finished, final = True, result in (Result.OK, Result.CANCELLED)
         elapsed = self.clock.now - attempt.sent_at
         outcome = api.Outcome(
-            attempt.request,
+            attempt.request_id,
             attempt.index,
             attempt.server,
             result,
@@ -237,22 +249,24 @@
 
     # Peers and discovery.
 
-    def send_to_peers(self, index: int, action: api.SendToPeer) -> None:
+    def send_to_peers(self, gateway: int, action: api.SendToPeer) -> None:
         """Send a message to one peer, or to all if the action names none."""
         message = QuotaCodec.decode(action.body)
-        peers = [i for i in range(len(self.gateways)) if i != index]
+        peers = [i for i in range(len(self.gateways)) if i != gateway]
         for receiver in peers if action.peer is None else [action.peer]:
-            self.entries_sent.update(entry[0] for entry in (message[1] if message else ()))
-            self.network.send(index, receiver, action.body)
+            self.quota_entries_sent.update(entry[0] for entry in (message[1] if message else ()))
+            self.network.send(gateway, receiver, action.body)
 
     def deliver_message(self, receiver: int, sender: int, body: bytes) -> None:
         """Pass a peer's message to a gateway."""
         message = QuotaCodec.decode(body)
-        self.answers_delivered += sum(entry[0] in ANSWER_KINDS for entry in (message[1] if message else ()))
+        self.quota_answers_delivered += sum(
+            entry[0] in ANSWER_KINDS for entry in (message[1] if message else ())
+        )
         self.deliver(receiver, self.incarnations[receiver], api.PeerMessage(sender, body))
 
-    def deliver_list(self, index: int, event: api.ServerList) -> None:
-        self.deliver(index, self.incarnations[index], event)
+    def deliver_list(self, gateway: int, event: api.ServerList) -> None:
+        self.deliver(gateway, self.incarnations[gateway], event)
 
     def on_server_change(self, entry: api.Server) -> None:
         """Start, drain or stop a table server."""
--- a/thymehinge/emulator/gateway_process.py
+++ b/thymehinge/emulator/gateway_process.py
@@ -1,4 +1,4 @@
-"""A gateway as a process of its own: start, resource usage and stop, and a prober of its latency."""
+"""A gateway process: its start, resource usage and stop, and a prober of its latency."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 from hdrh.histogram import HdrHistogram
 
-ROOT = Path(__file__).parents[2]
+ROOT = Path(__file__).parents[2]  # of the checkout
 HOST = "127.0.0.1"
 PING, PONG = b"*1\r\n$4\r\nPING\r\n", b"+PONG\r\n"
 READY_POLL_INTERVAL = 0.002  # seconds
-READY_TIMEOUT = 60.0  # seconds, for a list of hundreds of thousands of servers on a busy machine
-PING_TIMEOUT = 30.0  # seconds without an answer until the gateway counts as hung
+READY_TIMEOUT = 60.0  # seconds; enough for hundreds of thousands of servers on a busy machine
+PING_TIMEOUT = 30.0  # seconds without an answer after which the gateway counts as hung
 STOP_TIMEOUT = 10.0  # seconds from SIGTERM to SIGKILL; a drain takes up to the longest deadline
 DEFAULT_LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
 DEFAULT_SETTINGS: dict[str, Any] = {
@@ -81,6 +81,7 @@
         return self
 
     def start(self, directory: Path) -> None:
+        """Write the configuration and start the process, which logs to a file in `directory`."""
         self.port_holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.port_holder.bind((HOST, 0))
         self.address: tuple[str, int] = self.port_holder.getsockname()
@@ -162,7 +163,10 @@
 
 
 def ping(client: socket.socket, count: int = 1) -> bytes:
-    """Send `count` PINGs in one write and return the answers; raise ConnectionError if it is closed."""
+    """Send `count` PINGs in one write and return the answers.
+
+    Raises ConnectionError if the gateway closes the connection.
+    """
     client.sendall(PING * count)
     answers = b""
     while answers.count(b"\r\n") < count:
@@ -182,14 +186,14 @@
 
     PING_INTERVAL = 0.004  # seconds
     RECONNECT_INTERVAL = 1.5  # seconds; a gateway closes connections that only send PING after 2 s
-    RESOLUTION = 1e-6  # seconds, of the histogram
+    RESOLUTION = 1e-6  # seconds per unit of the histogram
 
     def __init__(self, gateway: GatewayProcess) -> None:
         self.gateway = gateway
         self.latencies = HdrHistogram(1, int(2 * PING_TIMEOUT / self.RESOLUTION), 3)
 
     def run(self, seconds: float) -> None:
-        """Send PINGs for so long, and wait for the last answer."""
+        """Send PINGs for `seconds`, and wait for the last answer."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             with self.gateway.connect() as client:
@@ -202,8 +206,10 @@
             if ping(client) != PONG:
                 raise GatewayError(f"gateway is no longer ready: {self.gateway.last_log_line()}")
             latency = time.monotonic() - sent_at
-            counts = max(1, round(latency / self.RESOLUTION))
-            self.latencies.record_corrected_value(counts, round(self.PING_INTERVAL / self.RESOLUTION))
+            histogram_value = max(1, round(latency / self.RESOLUTION))
+            self.latencies.record_corrected_value(
+                histogram_value, round(self.PING_INTERVAL / self.RESOLUTION)
+            )
             time.sleep(max(0.0, self.PING_INTERVAL - latency))
 
     def percentile(self, percent: float) -> float:
--- a/thymehinge/emulator/hollow.py
+++ b/thymehinge/emulator/hollow.py
@@ -13,7 +13,7 @@
 HIGH_REQUEST_RATES = 50.0, 200.0  # requests/s at a gateway, at which the limit on peer messages takes effect
 PEER_SEND_LIMIT = PEER_INTAKE_FRACTION * RECEIVE_LIMIT  # datagrams/s that a gateway may send
 WARMUP_TIME = 3.0  # seconds before counting, in which gateways learn latencies and customers
-MANY_CUSTOMERS = 500  # for each gateway, most of them seldom active
+MANY_CUSTOMERS = 500  # for each gateway; most are rarely active
 CUSTOMER_EXPIRY = 25.0  # seconds after which a gateway has dropped an idle customer
 ZONE_OUTAGE_WINDOW = 15.0  # seconds that cover the crash of a zone, its detection and its return
 
@@ -34,7 +34,7 @@
 
 
 def run_and_count(spec: FleetSpec, seed: int, seconds: float, warmup: float = WARMUP_TIME) -> Fleet:
-    """Return a fleet that has run for a warm-up and then counted for so many seconds."""
+    """Run a fleet for `warmup` seconds, reset its counters, run it for `seconds` and return it."""
     fleet = Fleet(spec, seed)
     fleet.run(warmup)
     fleet.reset_counters()
@@ -63,7 +63,7 @@
         "ratio",
         f"{largest} gateways to {smallest}",
     )
-    entries = ratio(fleet.entries_sent.total(), traffic.sent)
+    entries = ratio(fleet.quota_entries_sent.total(), traffic.sent)
     yield Slope("gateway.entries.message", entries, "entries a message", conditions)
     yield Slope(
         "gateway.bytes.request",
@@ -116,7 +116,7 @@
 
 
 def customer_state_slopes(sizes: Sizes, seed: int) -> Iterator[Slope]:
-    """Customers and buckets that a gateway keeps once it drops idle ones as fast as new ones come."""
+    """Customers and buckets that a gateway keeps once idle ones are dropped as fast as new ones are added."""
     gateways = sizes.fleet_sizes[0]
     seconds = 2 * CUSTOMER_EXPIRY
     fleet = run_and_count(
@@ -171,13 +171,13 @@
     for _ in range(int(ZONE_OUTAGE_WINDOW)):
         before = list(entries_sent)
         fleet.run(1.0)
-        worst = max(worst, *(now - then for now, then in zip(entries_sent, before, strict=True)))
+        worst = max(worst, *(new - old for new, old in zip(entries_sent, before, strict=True)))
     conditions = f"a gateway's worst second, zone of {len(zone)} of {servers} servers"
     yield Slope("discovery.entries.zone", worst / len(zone), "entries a server of the zone", conditions)
 
 
 def peak_to_mean(fleet: Fleet, disrupt: Callable[[], None], seconds: float) -> float:
-    """Return the messages in the worst second after a disruption, relative to the mean second before it."""
+    """Return the peak messages/s within `seconds` after a disruption, relative to the mean before it."""
     disrupted_at, sent_before = int(fleet.clock.now), fleet.network.traffic.sent_by_second
     mean = sum(sent_before.values()) / (fleet.clock.now - fleet.counting_since)
     disrupt()
@@ -199,7 +199,7 @@
     fleet.reset_counters()
     fleet.network.partitioned_regions.add(0)
     fleet.run(seconds)
-    unanswered = 1 - ratio(fleet.answers_delivered, fleet.entries_sent[QuotaCodec.REQUEST])
+    unanswered = 1 - ratio(fleet.quota_answers_delivered, fleet.quota_entries_sent[QuotaCodec.REQUEST])
     over_quota = over_quota_share(fleet)
     fleet.network.partitioned_regions.clear()
     fleet.run(seconds)
--- a/thymehinge/emulator/http_discovery.py
+++ b/thymehinge/emulator/http_discovery.py
@@ -18,25 +18,25 @@
 
 HOST = "127.0.0.1"
 ZONES = ("a", "b", "c")
-NETWORK = IPv4Address("127.64.0.0")  # of the synthetic servers' addresses: loopback, where nothing listens
-ADDRESS_COUNT, FIRST_PORT = 2**17, 6379  # further servers get the same addresses with the next port
+NETWORK = IPv4Address("127.64.0.0")  # first of the synthetic servers, on loopback; nothing listens there
+ADDRESS_COUNT, FIRST_PORT = 2**17, 6379  # further servers reuse the addresses with the next port
 MAX_TIMEOUT_MS = 60_000  # of a watch, by the protocol
 WHOLE_NUMBER = re.compile(r"[0-9]{1,15}")
 THREAD_CALL_TIMEOUT = 30.0  # seconds to wait for the server thread
-SHUTDOWN_TIMEOUT = 0.1  # seconds that open watches get at the end
+SHUTDOWN_TIMEOUT = 0.1  # seconds that open watches may take to finish at shutdown
 
 T = TypeVar("T")
 
 
 class HostTable:
-    """A synthetic server list over several zones, with its version and the changes since an older one."""
+    """A synthetic server list over several zones, with its version and its recent changes."""
 
     def __init__(self, servers: int, seed: int) -> None:
         """Raise ValueError if the list would be empty."""
         if servers < 1:
             raise ValueError(f"servers must be at least 1, got {servers}")
         self.target_count, self.rng, self.added_count = servers, random.Random(seed), 0
-        self.version = self.oldest_version = 1  # oldest_version: the first that changes are known since
+        self.version = self.oldest_version = 1  # changes are known since oldest_version
         self.names: list[str] = []
         self.entries: dict[str, dict[str, Any]] = {}
         self.encoded_entries: dict[str, bytes] = {}
@@ -68,7 +68,7 @@
         return name
 
     def apply_change(self) -> None:
-        """Make a new version in which one server drains, changes its weight, restarts, goes or is added."""
+        """Make a new version in which one server drains, changes its weight, restarts, leaves or is added."""
         self.version += 1
         if len(self.names) < self.target_count:
             return self.record_change(self.add_server())
@@ -100,8 +100,7 @@
     def response(self, since: int | None) -> tuple[bytes, int]:
         """Return a response body and its number of entries.
 
-        The body holds the changes since that version, or the whole list if they aren't known or if `since` is
-        None.
+        The body holds the changes since version `since`, or the whole list if `since` is None or unknown.
         """
         if since is None or not self.oldest_version <= since <= self.version:
             if self.snapshot_version != self.version:
@@ -118,6 +117,7 @@
         return self.body(False, changed[::-1]), len(changed)
 
     def body(self, whole: bool, encoded: list[bytes]) -> bytes:
+        """Return a response body with these encoded entries."""
         head = b'{"seq":%d,"whole":%b,"hosts":[' % (self.version, b"true" if whole else b"false")
         return b"%b%b]}" % (head, b",".join(encoded))
 
@@ -126,7 +126,7 @@
     return json.dumps(entry, separators=(",", ":")).encode()
 
 
-def read_query(query: Mapping[str, str]) -> tuple[int | None, int]:
+def parse_query(query: Mapping[str, str]) -> tuple[int | None, int]:
     """Return the version that a call watches from, None for the whole list, and its timeout in ms.
 
     Raises ValueError, with the text of the response, for an invalid query.
@@ -163,7 +163,7 @@
 
     def __init__(self, table: HostTable) -> None:
         self.table, self.counts, self.address = table, Counts(), ""
-        self.acknowledged_version = 0  # that the last watch started from, so its client has applied it
+        self.acknowledged_version = 0  # version that the last watch started from; its client has applied it
 
     def __enter__(self) -> HttpDiscovery:
         self.loop = asyncio.new_event_loop()
@@ -217,7 +217,7 @@
             last_call_at=time.monotonic(),
         )
         try:
-            since, timeout_ms = read_query(request.query)
+            since, timeout_ms = parse_query(request.query)
         except ValueError as error:
             return await self.send_response(request, web.Response(status=400, text=f"{error}\n"))
         if since is not None:
@@ -252,6 +252,7 @@
         return response
 
     async def update_table(self, update: Callable[[], None], times: int = 1) -> int:
+        """Call `update` repeatedly, notify the watches, and return the new version."""
         async with self.changed:
             for _ in range(times):
                 update()
@@ -263,7 +264,7 @@
         return self.run_in_thread(self.update_table(self.table.apply_change, count))
 
     def send_snapshot(self) -> int:
-        """Have watches answered with the whole list, and return its version."""
+        """Make a new version that watches receive as a whole list, and return the version."""
         return self.run_in_thread(self.update_table(self.table.discard_changes))
 
     def snapshot_bytes(self) -> int:
@@ -275,7 +276,7 @@
         return self.run_in_thread(size())
 
     def wait_acknowledged(self, version: int, timeout: float) -> bool:
-        """Wait until a watch starts from this version or a later one; return False after `timeout` s."""
+        """Wait until a watch starts from `version` or a later one; return False after `timeout` seconds."""
 
         async def wait() -> bool:
             try:
@@ -288,7 +289,7 @@
 
     @contextmanager
     def background_updates(self, change_rate: float, snapshot_rate: float) -> Iterator[None]:
-        """Within the `with` block, make so many changes and send so many snapshots per second."""
+        """Within the `with` block, make changes and send snapshots at these rates per second."""
 
         async def repeat(update: Callable[[], None], rate: float) -> None:
             due_at = self.loop.time()
--- a/thymehinge/emulator/network.py
+++ b/thymehinge/emulator/network.py
@@ -9,7 +9,7 @@
 from thymehinge.emulator.clock import Clock
 
 MIN_DELAY = 0.002  # seconds, one way
-MEAN_JITTER = 0.003  # seconds, mean of the exponential delay in addition
+MEAN_JITTER = 0.003  # seconds; mean of an exponential delay added to MIN_DELAY
 LOSS_RATE = 0.005  # fraction of the datagrams, in a healthy network
 MAX_DATAGRAM_BYTES = 256  # limit of the protocol
 
@@ -24,14 +24,14 @@
     lost: int = 0  # at random
     partitioned: int = 0  # dropped between partitioned regions
     over_limit: int = 0  # dropped by the receiver's rate limit
-    received_by: Counter[int] = field(default_factory=Counter)  # by receiver, with those over the limit
+    received_by: Counter[int] = field(default_factory=Counter)  # by receiver, including those over the limit
     sent_by_second: Counter[int] = field(default_factory=Counter)  # by second of simulated time
 
 
 class Network:
     """Carries datagrams between gateways, each of which is in a region.
 
-    A gateway accepts `receive_limit` datagrams per second, any number if that is 0. Raises ValueError for a
+    A gateway accepts `receive_limit` datagrams per second; 0 means no limit. Raises ValueError for a
     loss rate outside 0 to 1, and for a datagram that is longer than the protocol allows.
     """
 
@@ -51,12 +51,13 @@
             receive_limit,
             loss_rate,
         )
-        self.deliver = deliver  # called with receiver, sender and payload
+        self.deliver = deliver  # called with receiver, sender and body
         self.partitioned_regions: set[int] = set()  # each is cut off from all other regions
         self.traffic = TrafficCounters()
-        self.accepted = [(0, 0)] * len(regions)  # for each gateway: a second, and datagrams accepted in it
+        self.accepted = [(0, 0)] * len(regions)  # by gateway: a second, and the datagrams accepted in it
 
     def send(self, sender: int, receiver: int, body: bytes) -> None:
+        """Count a datagram and schedule its arrival."""
         if len(body) > MAX_DATAGRAM_BYTES:
             raise ValueError(f"datagram of {len(body)} bytes exceeds the limit of {MAX_DATAGRAM_BYTES}")
         self.traffic.sent += 1
--- a/thymehinge/emulator/real.py
+++ b/thymehinge/emulator/real.py
@@ -25,13 +25,13 @@
 INTERPRETER_SCRIPT = "import sys, asyncio, uvloop, hiredis, h11, json; print(flush=True); sys.stdin.read()"
 MEMORY_MB = 192  # limit of a gateway with fewer than LARGE_LIST servers
 LARGE_LIST = 100_000  # servers
-LARGE_LIST_MEMORY_MB = 1024  # a response of discovery may take a twelfth of the memory
-ACKNOWLEDGE_TIMEOUT = 30.0  # seconds until the gateway has applied a version of the list
+LARGE_LIST_MEMORY_MB = 1024  # discovery responses are limited to a twelfth of the memory
+ACKNOWLEDGE_TIMEOUT = 30.0  # seconds for the gateway to apply a version of the list
 SETTLE_TIME = 0.5  # seconds from the first list until the gateway is idle
 ROUNDS = 7  # of PINGs and a snapshot each
 PINGS_PER_WRITE = 200
 WRITES_PER_ROUND = 15
-CHANGE_COUNT = 60  # applied one by one, for more than a second: the gateway waits 20 ms between watches
+CHANGE_COUNT = 60  # applied one at a time, over more than 1 s: the gateway waits 20 ms between watches
 CHANGE_RATE = 10.0  # changes/s while the prober runs
 SNAPSHOT_RATE = 1.0  # snapshots/s while the prober runs
 TAIL_PERCENTILE = 99.0  # of the PING latencies
@@ -126,7 +126,7 @@
 
 
 def wait_until_idle(gateway: GatewayProcess, discovery: HttpDiscovery) -> StartResult:
-    """Wait until a gateway is ready, has applied the list and is idle."""
+    """Wait until a gateway is ready, has applied the list and is idle; return what was measured."""
     ready_time = gateway.wait_ready()
     has_list = discovery.wait_acknowledged(discovery.table.version, ACKNOWLEDGE_TIMEOUT)
     time.sleep(SETTLE_TIME)
@@ -155,7 +155,7 @@
 
 
 def wait_for_calls(discovery: HttpDiscovery, calls: int) -> Counts:
-    """Return the counts once so many further calls have come; raise GatewayError after a timeout."""
+    """Wait for `calls` more calls and return the counts; raise GatewayError after ACKNOWLEDGE_TIMEOUT."""
     target, deadline = discovery.counts.calls + calls, time.monotonic() + ACKNOWLEDGE_TIMEOUT
     while (counts := discovery.counts).calls < target:
         if time.monotonic() > deadline:
@@ -165,7 +165,7 @@
 
 
 def wait_for_version(discovery: HttpDiscovery, version: int) -> None:
-    """Wait until the gateway has applied a version of the list; raise GatewayError after a timeout."""
+    """Wait until the gateway has applied a version; raise GatewayError after ACKNOWLEDGE_TIMEOUT."""
     if not discovery.wait_acknowledged(version, ACKNOWLEDGE_TIMEOUT):
         raise GatewayError(
             f"gateway did not apply version {version} of the list within {ACKNOWLEDGE_TIMEOUT:g} s"
@@ -175,7 +175,7 @@
 def measure_cost(gateway: GatewayProcess, discovery: HttpDiscovery) -> Cost:
     """Measure the processor time of PINGs, snapshots and changes.
 
-    Medians keep out the gateway's own timers. PINGs are sent many per write: the cost of a single one is
+    Medians exclude the gateway's own timers. PINGs are sent many per write: the cost of a single one is
     mostly the wake-up of the process, which depends on the load of the machine.
     """
 
@@ -235,13 +235,16 @@
 
 
 def growth_slopes(starts: dict[int, StartResult], costs: dict[int, Cost], long_list: int) -> Iterator[Slope]:
-    """Memory and processor time of one more server, and the growth of a change's cost with their number."""
-    few, many, further = starts[SHORT_LIST], starts[long_list], long_list - SHORT_LIST
+    """Memory and processor time of one more server, and the growth of a change's cost with the list."""
+    short_start, long_start, added_servers = starts[SHORT_LIST], starts[long_list], long_list - SHORT_LIST
     conditions = f"between {SHORT_LIST} and {long_list:,} servers"
     yield Slope(
-        "process.memory.server", (many.rss - few.rss) / further, "bytes a server", f"RSS, {conditions}"
+        "process.memory.server",
+        (long_start.rss - short_start.rss) / added_servers,
+        "bytes a server",
+        f"RSS, {conditions}",
     )
-    peak = (many.peak_rss - few.peak_rss) / further
+    peak = (long_start.peak_rss - short_start.peak_rss) / added_servers
     peak_conditions = f"VmHWM after {ROUNDS} more whole lists, {conditions}"
     yield Slope("process.memory.server_peak", peak, "bytes a server", peak_conditions)
     short_cost, long_cost = costs[SHORT_LIST], costs[long_list]
--- a/thymehinge/emulator/servers.py
+++ b/thymehinge/emulator/servers.py
@@ -21,7 +21,7 @@
     slow_start_duration: float = 10.0  # seconds until full speed
 
     def __post_init__(self) -> None:
-        """Raise ValueError for an impossible capacity."""
+        """Raise ValueError if a value is out of range."""
         if (
             self.cores < 1
             or self.queue_limit < 0
@@ -35,9 +35,9 @@
 class Attempt:
     """One attempt of a gateway's request."""
 
-    gateway: int
+    gateway: int  # index of the gateway
     incarnation: int  # of the gateway, which may have restarted since
-    request: int
+    request_id: int
     index: int  # among the request's attempts
     server: str
     service_time: float  # seconds of one core at full speed
--- a/thymehinge/emulator/slopes.py
+++ b/thymehinge/emulator/slopes.py
@@ -51,7 +51,7 @@
         if name in ranges:
             raise PageError(f"{page}: {name} has two rows")
         if low > high:
-            raise PageError(f"{page}: {name}: {low:g} to {high:g} is no range")
+            raise PageError(f"{page}: {name}: {low:g} to {high:g} is not a valid range")
         ranges[name] = low, high
     if not ranges:
         raise PageError(f"{page}: no row states a range")
