--- a/tests/quotakit.py
+++ b/tests/quotakit.py
@@ -63,7 +63,7 @@
     """Returns the id of a customer that all gateways serve and whose quota this gateway owns."""
     settings = gateway.settings
     customers = (
-        gateway.gateway.find_quota(
+        gateway.wrapped.find_quota(
             gateway.now, api.Request(0, 1.0, "", "hard", key, spread=settings.gateway_count)
         )
         for key in range(1000)
--- a/tests/rules.py
+++ b/tests/rules.py
@@ -65,7 +65,7 @@
 
     def __init__(self, given: api.Settings | None = None, seed: int = 1, now: float = 100.0) -> None:
         self.settings, self.now = given or make_settings(), now
-        self.gateway = Gateway(self.settings, seed, now)
+        self.wrapped = Gateway(self.settings, seed, now)
         self.requests: dict[int, tuple[api.Request, float]] = {}  # request id -> request, time received
         self.attempts: dict[int, list[list]] = {}  # request id -> [server, time sent, result or None, entry]
         self.final_actions: dict[int, api.Action] = {}
@@ -88,7 +88,7 @@
                     if entry.state is LifecycleState.RUNNING
                     else self.out_of_service.add
                 )(entry.name)
-        actions = self.gateway.handle(self.now, event)
+        actions = self.wrapped.handle(self.now, event)
         for action in actions:
             self.check_action(action)
         return actions
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -161,7 +161,7 @@
 def gateway_with_delisted_server() -> CheckedGateway:
     """Returns a gateway with a request in flight at a cold server that the latest snapshot lacks."""
     gateway = CheckedGateway(make_settings(peers_enabled=False, slow_start_capacity=0.9))
-    gateway.gateway.fleet.warm_work_rate = 20.0
+    gateway.wrapped.fleet.warm_work_rate = 20.0
     gateway.deliver(cold_server_list("c"))
     assert gateway.in_flight(gateway.request())
     gateway.deliver(server_list("w"))
@@ -171,7 +171,7 @@
 def test_delisted_server_keeps_state_when_listed_again():
     gateway = gateway_with_delisted_server()
     gateway.deliver(cold_server_list("c"))
-    server = gateway.gateway.fleet.servers["c"]
+    server = gateway.wrapped.fleet.servers["c"]
     assert len(server.cold_sends) == len(server.attempts) == 1 and server.load > 0
     gateway.end_attempt(1)
     assert not server.attempts and server.load == 0
@@ -189,21 +189,21 @@
             )
         case "long ago":
             gateway.run(DELISTED_TTL + 1.0)
-            assert not gateway.gateway.fleet.delisted
+            assert not gateway.wrapped.fleet.delisted
         case "too many":
             for i in range(2):
                 gateway.deliver(cold_server_list(*[f"x{i}.{j}" for j in range(MAX_DELISTED)]))
             gateway.deliver(server_list("w"))
-            assert len(gateway.gateway.fleet.delisted) == MAX_DELISTED
+            assert len(gateway.wrapped.fleet.delisted) == MAX_DELISTED
     gateway.deliver(cold_server_list("c", started_at=101.0 if reason == "started anew" else 100.0))
-    server = gateway.gateway.fleet.servers["c"]
+    server = gateway.wrapped.fleet.servers["c"]
     assert not server.cold_sends and not server.attempts and server.load == 0
 
 
 def test_cold_send_must_start_within_budget_window():
     """Guards against sends that are counted in two budget windows but written in the same one."""
     gateway = CheckedGateway(make_settings(peers_enabled=False, slow_start_capacity=0.9))
-    gateway.gateway.fleet.warm_work_rate = 20.0
+    gateway.wrapped.fleet.warm_work_rate = 20.0
     gateway.deliver(cold_server_list("c"))
     gateway.request()
     (send,) = (action for _, action in gateway.action_log if isinstance(action, api.Send))
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -47,7 +47,7 @@
     gateway = CheckedGateway(make_settings(gateway_count=2))
     gateway.deliver(server_list("s1", "s2"))
     quotas = (
-        gateway.gateway.find_quota(gateway.now, api.Request(0, 1, "", "hard", customer, spread=2))
+        gateway.wrapped.find_quota(gateway.now, api.Request(0, 1, "", "hard", customer, spread=2))
         for customer in range(50)
     )
     customer = next(quota.key for quota in quotas if quota.owners[0] == 1)
@@ -55,10 +55,10 @@
     gateway.run(0.01)
     gateway.now += 1.5
     gateway.timers.clear()
-    gateway.deliver(api.TimerDue(gateway.gateway.timer_tag))
+    gateway.deliver(api.TimerDue(gateway.wrapped.timer_tag))
     assert request not in gateway.attempts and request not in gateway.final_actions
     denial = QuotaCodec.pack_entry(
-        QuotaCodec.DENY, gateway.gateway.jobs[request].tag, customer, 0, 1.0, 1.0, 0.0
+        QuotaCodec.DENY, gateway.wrapped.jobs[request].tag, customer, 0, 1.0, 1.0, 0.0
     )
     gateway.deliver(api.PeerMessage(1, QuotaCodec.encode(9.0, [denial])))
     assert isinstance(gateway.final_actions.get(request), api.Refuse)
@@ -85,7 +85,7 @@
     gateway.deliver(server_list("s1", "s2"))
     sent_counts = {"lookup": 0, "cheap": 0}
     for step in range(200):
-        gateway.gateway.fleet.limit = 2.0
+        gateway.wrapped.fleet.limit = 2.0
         for class_name in sent_counts:
             request = gateway.request(cls=class_name, customer=step)
             if gateway.in_flight(request):
@@ -100,7 +100,7 @@
     """Guards against starvation of classes of low value while higher values are admitted."""
     low_value_class = dataclasses.replace(LOOKUP, name="cheap", value=0.01)
     gateway = CheckedGateway(make_settings(classes=(LOOKUP, low_value_class)))
-    fleet = gateway.gateway.fleet
+    fleet = gateway.wrapped.fleet
     fleet.limit = 1.0
     admitted = {0.01: 0, 1.0: 0}
     for _ in range(2000):
@@ -166,9 +166,9 @@
     ):
         gateway.deliver(event)
     request = api.Request(1, 1.0, "no such class", "no such plan", 5)
-    assert any(isinstance(a, api.Send) for a in gateway.gateway.handle(gateway.now, request))
+    assert any(isinstance(a, api.Send) for a in gateway.wrapped.handle(gateway.now, request))
     gateway.deliver(api.ServerList(api.ListKind.SNAPSHOT, 4, ()))
-    assert gateway.gateway.handle(gateway.now, api.Outcome(1, 7, "s1", Result.OK, 0.1, False)) is not None
+    assert gateway.wrapped.handle(gateway.now, api.Outcome(1, 7, "s1", Result.OK, 0.1, False)) is not None
 
 
 def test_actions_depend_only_on_events_and_seed():
@@ -230,10 +230,10 @@
         gateway = CheckedGateway(make_settings(gateway_count=size))
         gateway.deliver(server_list(*[f"s{i}" for i in range(size)]))
         request = gateway.request()
-        server = gateway.gateway.fleet.servers[gateway.attempts[request][0][0]]
+        server = gateway.wrapped.fleet.servers[gateway.attempts[request][0][0]]
         gateway.end_attempt(request, Result.ERROR)
         gateway.now += 6.0
-        failure_rates.append(server.current_failure_rate(gateway.now, gateway.gateway.fleet.decay_scale))
+        failure_rates.append(server.current_failure_rate(gateway.now, gateway.wrapped.fleet.decay_scale))
     assert failure_rates[1] > 2 * failure_rates[0] > 0
 
 
@@ -242,8 +242,8 @@
     gateway = CheckedGateway(make_settings(gateway_count=300))
     gateway.deliver(server_list(*[f"s{i}" for i in range(300)]))
     compared: list[str] = []
-    original = gateway.gateway.fleet.expected_latency
-    gateway.gateway.fleet.expected_latency = lambda server, now, work: compared.append(
+    original = gateway.wrapped.fleet.expected_latency
+    gateway.wrapped.fleet.expected_latency = lambda server, now, work: compared.append(
         server.entry.name
     ) or original(server, now, work)
     gateway.request()
@@ -256,14 +256,14 @@
     gateway.deliver(server_list("s1"))
     lost_request = gateway.request(customer=1, plan="soft")
     assert gateway.in_flight(lost_request)
-    limit = gateway.gateway.fleet.limit
+    limit = gateway.wrapped.fleet.limit
     for step in range(20):
         gateway.run(0.05)
         answered_request = gateway.request(customer=2 + step, plan="soft")
         assert gateway.in_flight(answered_request), step
         gateway.end_attempt(answered_request)
     gateway.end_attempt(lost_request, Result.TIMEOUT)
-    assert gateway.gateway.fleet.limit >= limit
+    assert gateway.wrapped.fleet.limit >= limit
 
 
 def test_request_without_servers_is_refused_by_half_its_timeout():
@@ -280,7 +280,7 @@
     """Guards server selection against failures that are not specific to a server."""
     gateway = CheckedGateway()
     gateway.deliver(server_list("s1", "s2", "s3", "s4"))
-    fleet = gateway.gateway.fleet
+    fleet = gateway.wrapped.fleet
     for server in fleet.servers.values():
         server.failure_rate, server.failure_rate_at = 0.3, gateway.now
     fleet.servers["s1"].failure_rate = 0.9
@@ -300,7 +300,7 @@
     gateway.run(1.4)
     second = gateway.request(customer=2, plan="soft")
     assert gateway.in_flight(first) and gateway.in_flight(second)
-    fleet = gateway.gateway.fleet
+    fleet = gateway.wrapped.fleet
     gateway.end_attempt(second)
     assert fleet.load == 0.0 and not fleet.servers["s1"].attempts  # the lost attempt no longer counts
 
@@ -377,7 +377,7 @@
         gateway = CheckedGateway()
         gateway.deliver(server_list("s1"))
         request = gateway.request() if stage == "retry" else 0
-        gateway.gateway.fleet.servers["s1"].unit_latency = 9.0
+        gateway.wrapped.fleet.servers["s1"].unit_latency = 9.0
         if request:
             gateway.end_attempt(request, Result.REJECTED)
         else:
@@ -394,13 +394,13 @@
         attempts_before = len(gateway.attempts.get(request, []))
         if client_leaves:
             gateway.deliver(api.ClientGone(request))
-        if server := gateway.gateway.fleet.servers.get("s1"):
+        if server := gateway.wrapped.fleet.servers.get("s1"):
             server.unit_latency = 0.0
         for other_request in [r for r in gateway.attempts if gateway.in_flight(r)]:
             gateway.end_attempt(other_request)
         gateway.run(0.95)
         assert (len(gateway.attempts.get(request, [])) > attempts_before) != client_leaves
-        assert not client_leaves or (request not in gateway.gateway.jobs and not gateway.gateway.waiting)
+        assert not client_leaves or (request not in gateway.wrapped.jobs and not gateway.wrapped.waiting)
 
 
 def test_answer_within_class_latency_target_is_not_slow():
@@ -408,12 +408,12 @@
     long_target_class = dataclasses.replace(LOOKUP, name="patient", latency_target=4.0, timeout=9.0)
     gateway = CheckedGateway(make_settings(classes=(LOOKUP, long_target_class), gateway_count=1))
     gateway.deliver(server_list("s1", "s2", "s3"))
-    lowest_limit = gateway.gateway.fleet.limit
+    lowest_limit = gateway.wrapped.fleet.limit
     for step in range(60):
         request = gateway.request(cls="patient", customer=step, time_left=9.0)
         gateway.run(1.2)
         gateway.end_attempt(request)
-        lowest_limit = min(lowest_limit, gateway.gateway.fleet.limit)
+        lowest_limit = min(lowest_limit, gateway.wrapped.fleet.limit)
     assert lowest_limit >= 4.0
     assert refused_ratio(tuple(f"s{i}" for i in range(20)), 2.5) > 0.2  # late answers still cut the limit
 
@@ -422,10 +422,10 @@
     """Returns a gateway's concurrency limit after `count` messages from a peer that reports `peer_limit`."""
     gateway = CheckedGateway(make_settings(gateway_count=40))
     gateway.deliver(server_list("s1", "s2"))
-    gateway.gateway.fleet.limit = limit
+    gateway.wrapped.fleet.limit = limit
     for _ in range(count):
         gateway.deliver(api.PeerMessage(1, QuotaCodec.encode(peer_limit, [])))
-    return gateway.gateway.fleet.limit
+    return gateway.wrapped.fleet.limit
 
 
 def test_slightly_lower_peer_limit_does_not_hold_limit_down():
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -1,4 +1,4 @@
-"""A customer's quota at one gateway: token bucket, wait queue, concurrency limit and hard limit."""
+"""A customer's quota at one gateway: token bucket, wait queue, concurrency limit and cap."""
 
 from __future__ import annotations
 
@@ -99,7 +99,7 @@
     assert count_sent(gateway, request_ids) == 3
 
 
-def test_hard_limit_holds_after_waiting_for_servers():
+def test_cap_holds_after_waiting_for_servers():
     """Guards against sending all waiting requests in one burst once servers are listed."""
     plan = api.Plan("capped", rate=4.0, burst=100.0, cap_rate=8.0, cap_burst=4.0, cap_slack=1.0)
     long_target_class = dataclasses.replace(LOOKUP, latency_target=20.0, timeout=30.0)
@@ -134,13 +134,13 @@
         group.members[i % 2].request(customer=i, spread=2, plan=("hard", "capped")[i % 3 == 0], time_left=0.5)
     group.run(1.0)
     first = group.members[0]
-    assert first.gateway.quotas and any(member.gateway.owned_quotas for member in group.members)
+    assert first.wrapped.quotas and any(member.wrapped.owned_quotas for member in group.members)
     for gateway in group.members:
         gateway.run(40.0)
-        assert not gateway.gateway.quotas and not gateway.gateway.owned_quotas
+        assert not gateway.wrapped.quotas and not gateway.wrapped.owned_quotas
     first.request(customer=1, spread=2)
     first.run(10.0)
-    assert list(first.gateway.quotas) == [1]
+    assert list(first.wrapped.quotas) == [1]
 
 
 def test_expired_slot_waiters_are_not_counted():
--- a/tests/test_quota_across_gateways.py
+++ b/tests/test_quota_across_gateways.py
@@ -55,7 +55,7 @@
     gateway = CheckedGateway(make_settings(gateway_count=2))
     gateway.deliver(server_list("s1", "s2"))
     gateway.deliver(api.PeerMessage(1, body))
-    assert QuotaCodec.decode(body) is None and gateway.gateway.fleet.limit >= 4
+    assert QuotaCodec.decode(body) is None and gateway.wrapped.fleet.limit >= 4
 
 
 def test_repeated_or_invalid_quota_request_is_harmless():
@@ -64,7 +64,7 @@
     for _ in range(5):
         gateway.deliver(api.PeerMessage(1, body))
     gateway.run(1.0)
-    assert gateway.gateway.owned_quotas[7].level >= 8 - 4 - 1
+    assert gateway.wrapped.owned_quotas[7].level >= 8 - 4 - 1
     for plan, units in ((250, 1.0), (0, -500.0)):
         gateway.deliver(
             api.PeerMessage(
@@ -74,7 +74,7 @@
                 ),
             )
         )
-    assert 8 not in gateway.gateway.owned_quotas
+    assert 8 not in gateway.wrapped.owned_quotas
     gateway.deliver(
         api.PeerMessage(
             1, QuotaCodec.encode(9.0, [QuotaCodec.pack_entry(QuotaCodec.GRANT, 9, 7, 0, 1.0, 0.0, 1.0)])
@@ -123,7 +123,7 @@
     request = gateway.request(customer=customer, spread=2)
     gateway.run(0.05)
     denial = QuotaCodec.pack_entry(
-        QuotaCodec.DENY, gateway.gateway.jobs[request].tag, customer, 0, 1.0, 3.0, 0.0
+        QuotaCodec.DENY, gateway.wrapped.jobs[request].tag, customer, 0, 1.0, 3.0, 0.0
     )
     gateway.deliver(api.PeerMessage(1, QuotaCodec.encode(9.0, [denial])))
     messages_before = count_peer_messages(gateway)
@@ -156,11 +156,11 @@
         gateway.run(1.5)
         if step % 2:
             gateway.deliver(api.PeerMessage(1, QuotaCodec.encode(9.0, [])))
-    assert not gateway.gateway.skipped_owners
+    assert not gateway.wrapped.skipped_owners
     for _ in range(6):
         gateway.request(customer=customer, spread=3)
         gateway.run(1.5)
-    assert 1 in gateway.gateway.skipped_owners
+    assert 1 in gateway.wrapped.skipped_owners
 
 
 def test_leaked_slot_does_not_keep_quota_in_memory():
@@ -170,9 +170,9 @@
         entry = QuotaCodec.pack_entry(QuotaCodec.REQUEST, tag, 1000 + tag, 1, 1.0, 0.3, 1.0)
         gateway.deliver(api.PeerMessage(1, QuotaCodec.encode(4.0, [entry])))
         gateway.run(0.01)
-    assert len(gateway.gateway.owned_quotas) == 200
+    assert len(gateway.wrapped.owned_quotas) == 200
     gateway.run(60.0)
-    assert not gateway.gateway.owned_quotas
+    assert not gateway.wrapped.owned_quotas
 
 
 def test_reused_tag_is_a_new_quota_request():
@@ -183,8 +183,8 @@
     second = QuotaCodec.pack_entry(QuotaCodec.REQUEST, 77, 8, 0, 8.0, 0.5, 1.0)
     for entry in (first, first, second):
         owner.deliver(api.PeerMessage(requester.settings.gateway_index, QuotaCodec.encode(4.0, [entry])))
-    assert owner.gateway.owned_quotas[7].level == pytest.approx(owner.gateway.owned_quotas[7].capacity - 1.0)
-    assert owner.gateway.owned_quotas[8].level < 0.5
+    assert owner.wrapped.owned_quotas[7].level == pytest.approx(owner.wrapped.owned_quotas[7].capacity - 1.0)
+    assert owner.wrapped.owned_quotas[8].level < 0.5
 
 
 def test_unanswered_request_is_decided_locally():
@@ -214,7 +214,7 @@
     """Guards against refusals caused by the pacing of peer messages."""
     gateway = CheckedGateway(make_settings(gateway_count=3))
     gateway.deliver(server_list("s1", "s2"))
-    gateway.gateway.next_message_at = gateway.now + 1.0  # as if pacing delayed the next message
+    gateway.wrapped.next_message_at = gateway.now + 1.0  # as if pacing delayed the next message
     _, request = send_unanswered_request(gateway, time_left=0.5)
     gateway.run(0.45 * 0.5 + 0.01)
     assert gateway.in_flight(request)
@@ -226,7 +226,7 @@
     for answer_ratio in (0.5, 1.0):
         gateway = CheckedGateway(make_settings(gateway_count=3, classes=(short_target_class,)))
         gateway.deliver(server_list("s1", "s2"))
-        gateway.gateway.answer_ratio = answer_ratio
+        gateway.wrapped.answer_ratio = answer_ratio
         _, request = send_unanswered_request(gateway, cls="quick", time_left=3.0)
         gateway.run(0.2)
         assert bool(gateway.in_flight(request)) is (answer_ratio == 0.5)
@@ -242,16 +242,16 @@
     for _ in range(40):
         send_unanswered_request(unanswered, time_left=0.5)
         unanswered.run(0.3)
-    assert unanswered.gateway.answer_ratio < 0.3
-    answered.gateway.answer_ratio = 0.3
+    assert unanswered.wrapped.answer_ratio < 0.3
+    answered.wrapped.answer_ratio = 0.3
     for _ in range(40):
         customer, request = send_unanswered_request(answered, time_left=0.5)
         grant = QuotaCodec.pack_entry(
-            QuotaCodec.GRANT, answered.gateway.jobs[request].tag, customer, 0, 1.0, 0.0, 1.0
+            QuotaCodec.GRANT, answered.wrapped.jobs[request].tag, customer, 0, 1.0, 0.0, 1.0
         )
         answered.deliver(api.PeerMessage(1, QuotaCodec.encode(9.0, [grant])))
         answered.end_attempt(request)
-    assert answered.gateway.answer_ratio > 0.8
+    assert answered.wrapped.answer_ratio > 0.8
 
 
 def test_late_grant_does_not_return_used_units():
@@ -259,7 +259,7 @@
     gateway = CheckedGateway(make_settings(gateway_count=3))
     gateway.deliver(server_list("s1", "s2"))
     customer, request = send_unanswered_request(gateway, time_left=0.5)
-    tag = gateway.gateway.jobs[request].tag
+    tag = gateway.wrapped.jobs[request].tag
     gateway.run(0.3)
     gateway.end_attempt(request)
     messages_before = count_peer_messages(gateway)
@@ -274,7 +274,7 @@
     gateway.run(0.5)
     assert count_peer_messages(gateway) == messages_before
     gateway.run(5.0)
-    assert not gateway.gateway.ungranted_tags
+    assert not gateway.wrapped.ungranted_tags
 
 
 def test_empty_owner_bucket_limits_unanswered_requests_to_local_share():
@@ -284,8 +284,8 @@
         gateway = CheckedGateway(make_settings(gateway_count=3))
         gateway.deliver(server_list(*[f"s{i}" for i in range(12)]))
         customer = customer_owned_by(gateway, 1)
-        gateway.gateway.quotas[customer].owner_fill = fill
-        gateway.gateway.quotas[customer].level = 0.0
+        gateway.wrapped.quotas[customer].owner_fill = fill
+        gateway.wrapped.quotas[customer].level = 0.0
         request_ids = [gateway.request(customer=customer, spread=3, time_left=0.5) for _ in range(12)]
         gateway.run(0.3)
         sent_counts[fill] = count_sent(gateway, request_ids)
@@ -298,7 +298,7 @@
     gateway = CheckedGateway(make_settings(gateway_count=3, plans=(HARD, plan)))
     gateway.deliver(server_list(*[f"s{i}" for i in range(12)]))
     customer = customer_owned_by(gateway, 1)
-    quota = gateway.gateway.find_quota(gateway.now, api.Request(0, 1.0, "", "open", customer, spread=3))
+    quota = gateway.wrapped.find_quota(gateway.now, api.Request(0, 1.0, "", "open", customer, spread=3))
     quota.grant_ratio, quota.last_answer_at = 0.0, gateway.now + 10.0
     request_ids = [
         gateway.request(customer=customer, plan="open", spread=3, time_left=0.5) for _ in range(12)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Rules for a single gateway: timely answers, safe retries, server states, cold budgets, hard limits."""
+"""Rules for a single gateway: timely answers, safe retries, server states, cold budgets, caps."""
 
 from __future__ import annotations
 
@@ -122,7 +122,7 @@
 
 
 def units_sent_on_capped_plan(gateway: CheckedGateway, seconds: float) -> float:
-    """Returns the units sent for a customer that sends continuously on a plan with a hard limit."""
+    """Returns the units sent for a customer that sends continuously on a plan with a cap."""
     end = gateway.now + seconds
     while gateway.now < end:
         gateway.request(plan="capped", spread=2)
@@ -132,7 +132,7 @@
     return float(sum(bool(attempts) for attempts in gateway.attempts.values()))
 
 
-def test_hard_limit_holds_without_peer_messages_and_across_restarts():
+def test_cap_holds_without_peer_messages_and_across_restarts():
     """With two gateways for the customer, each may send half of the limit: a burst of 16 plus 8 units/s."""
     total = 0.0
     for incarnation in range(6):
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -69,10 +69,10 @@
     """W13: no retry time unless enabled, and never above the maximum."""
     checked = CheckedGateway(make_settings(retry_after_enabled=enabled, max_retry_after=1.0))
     checked.request()
-    job = next(iter(checked.gateway.jobs.values()))
-    checked.gateway.actions = []
-    checked.gateway.reject(checked.now, job, refuse=True, retry_after=retry_after)
-    (refusal,) = (a for a in checked.gateway.actions if isinstance(a, api.Refuse))
+    job = next(iter(checked.wrapped.jobs.values()))
+    checked.wrapped.actions = []
+    checked.wrapped.reject(checked.now, job, refuse=True, retry_after=retry_after)
+    (refusal,) = (a for a in checked.wrapped.actions if isinstance(a, api.Refuse))
     assert refusal.retry_after == (min(retry_after, 1.0) if enabled else 0.0)
 
 
--- a/thymehinge/decisions.py
+++ b/thymehinge/decisions.py
@@ -41,8 +41,8 @@
 MAX_DEBT_TIME = 10.0  # seconds of refill that a bucket may owe
 OWNER_SKIP_TIME = 2.0  # seconds for which an unresponsive owner is skipped
 MAX_OWNER_MISSES = 3  # consecutive unanswered quota requests before an owner is skipped
-QUOTA_ANSWER_TTL = 2.0  # seconds past its deadline that an answer is kept; longer than all tries together
-SLOT_LEASE = 10.0  # typical latencies per unit before a slot whose release was lost is reclaimed
+QUOTA_ANSWER_TTL = 2.0  # seconds that an answer is kept after the wait budget; longer than all tries together
+SLOT_LEASE_LATENCIES = 10.0  # typical latencies per unit; expiry reclaims a slot whose release was lost
 
 # Time budget of a request, and the controller.
 SERVICE_MARGIN = 1.5  # times the mean latency reserved for service
@@ -69,12 +69,12 @@
 SLOW_LATENCY_FACTOR = 4.0  # times the latency that is typical for the work
 SLOW_RATIO_LIMIT = 0.25  # of answers slow, above which the fleet is congested
 SLOW_RATIO_WEIGHT = 0.1  # weight of a new sample in the slow ratio
-SLOW_SERVER_FACTOR = 2.0  # typical latencies above which a server is slow itself: no sign of congestion
+SLOW_SERVER_FACTOR = 2.0  # times the typical latency above which a slow server is no sign of congestion
 LIMIT_DECREASE = 0.9  # factor on the concurrency limit for each slow answer
 ADMISSION_LIMIT = 4.0  # concurrency limit below which requests are admitted at random instead
 MIN_CONCURRENCY_LIMIT = 0.2
-ADMISSION_DECREASE = 0.6  # LIMIT_DECREASE below ADMISSION_LIMIT, where samples are few
-ADMISSION_INCREASE = 1.1  # factor on the limit for each good answer there
+ADMISSION_DECREASE = 0.6  # replaces LIMIT_DECREASE below ADMISSION_LIMIT, where answers are few
+ADMISSION_INCREASE = 1.1  # factor on the limit for each timely answer below ADMISSION_LIMIT
 PEER_LIMIT_WEIGHT = 0.2  # weight of a peer's concurrency limit against the local one
 RANKED_REQUESTS = 64  # latest requests among which a request's value is ranked
 
@@ -83,14 +83,14 @@
 REPORT_WEIGHT = 0.5  # weight of a reported request against one of this gateway
 MAX_REPORTED_QUEUE = 100.0  # requests; larger reports are capped
 LOST_ATTEMPT_LATENCIES = 3.0  # typical latencies; an attempt sent that long before an answered one is lost
-FAILURE_BASELINE_FACTOR = 1.5  # times the failure rate of the lower quartile of servers, which is ignored
+FAILURE_BASELINE_FACTOR = 1.5  # times the lower quartile of failure rates; rates up to that are ignored
 SLOW_RECOVERY_TIME = 2.0  # seconds; time constant with which the high latency of an idle server fades
 FAILURE_DECAY_TIME = 3.0  # seconds; time constant with which a failure rate fades
 FAILURE_PENALTY = 20.0  # typical latencies added to the cost of a server that always fails
 CROSS_ZONE_PENALTY = 0.1  # added fraction of the expected latency for a server in another zone
 SELECTION_JITTER = 0.1  # random fraction added to the cost, against herding
 UNTRIED_JITTER = 1.0  # the same for a server without a recent outcome
-DELISTED_TTL = 30.0  # seconds that the state of a server missing from a full list is kept
+DELISTED_TTL = 30.0  # seconds that the state of a server missing from a snapshot is kept
 MAX_DELISTED = 1024  # servers kept that way
 COLD_BUDGET_SAFETY = 0.5  # fraction of a cold server's budget that is used, since capacity is estimated
 
@@ -150,8 +150,8 @@
     """One customer's token bucket, demand and concurrency slots.
 
     At the owner the bucket holds the whole quota (`Gateway.owned_quotas`); elsewhere it holds this gateway's
-    local share. Requests that wait for tokens are charged in advance, so `level` may be negative. `excess`
-    holds the tokens for use beyond the quota.
+    local share. Requests that wait for tokens are charged in advance, so `level` may be negative. `overage`
+    holds the tokens for use beyond the quota, `cap_level` those of the cap on all use.
     """
 
     def __init__(self, plan: api.Plan, request: api.Request, settings: api.Settings, now: float) -> None:
@@ -168,13 +168,13 @@
         self.local_share = 1 / self.spread
         lag = SETTLEMENT_LAG if settings.postpaid else MESSAGE_LAG
         self.capacity = plan.burst - min(plan.burst / 4, plan.rate * lag)
-        self.level, self.excess = self.capacity * self.local_share, 0.0
-        self.hard_limit_level = 0.0  # an earlier process may have used up the burst
+        self.level, self.overage = self.capacity * self.local_share, 0.0
+        self.cap_level = 0.0  # not the burst, which an earlier process may have used up
         # Use beyond the quota is allowed up to this multiple of the rate; demand in units/s, moving average.
         self.rate_multiplier, self.demand = 1.0, 0.0
         # What the owner's answers show: ratio of quota requests granted, and the fill of its bucket.
         self.grant_ratio, self.last_answer_at, self.owner_fill = 1.0, now, 1.0
-        self.owner_credit = math.inf  # owner's level at its last denial, in seconds of refill, less that time
+        self.owner_credit = math.inf  # seconds; by its last denial the owner's level is rate * (this + now)
         self.in_flight = 0
         self.slots = SlotPool(plan.max_in_flight)
 
@@ -187,19 +187,19 @@
         )
         self.demand *= math.exp(-elapsed / DEMAND_DECAY_TIME)
         self.level = min(self.capacity, self.level + plan.rate * self.local_share * elapsed)
-        excess_rate = plan.rate * (self.rate_multiplier - 1)
-        self.excess = min(excess_rate, self.excess + excess_rate * self.local_share * elapsed)
-        self.hard_limit_level = min(
+        overage_rate = plan.rate * (self.rate_multiplier - 1)
+        self.overage = min(overage_rate, self.overage + overage_rate * self.local_share * elapsed)
+        self.cap_level = min(
             plan.cap_burst / self.spread,
-            self.hard_limit_level + plan.cap_rate / self.spread * elapsed,
+            self.cap_level + plan.cap_rate / self.spread * elapsed,
         )
 
     def is_idle(self) -> bool:
         """Whether a new instance would have the same state, so that this one can be dropped."""
         plan, full = self.plan, self.level >= self.capacity * self.local_share
-        below_hard_limit = plan.cap_rate <= 0 or self.hard_limit_level >= plan.cap_burst / self.spread
+        below_cap = plan.cap_rate <= 0 or self.cap_level >= plan.cap_burst / self.spread
         active = self.in_flight or any(until > self.refilled_at for until in self.slots.leases.values())
-        return full and below_hard_limit and not active and self.demand < IDLE_DEMAND
+        return full and below_cap and not active and self.demand < IDLE_DEMAND
 
     def grant_probability(self, now: float) -> float:
         """Probability that the owner grants a quota request; recovers to 1 as the last answer ages."""
@@ -218,9 +218,9 @@
         self.refill(now)
         plan, wait = self.plan, 0.0
         if plan.rate > 0 and self.level < units:
-            if self.excess >= units:
-                self.excess -= units
-                return QuotaCodec.GRANT_EXCESS, 0.0
+            if self.overage >= units:
+                self.overage -= units
+                return QuotaCodec.GRANT_OVERAGE, 0.0
             wait = (units - self.level) / max(plan.rate * self.local_share, 1e-9)
             if wait > max_wait:
                 return QuotaCodec.DENY, wait
@@ -233,10 +233,10 @@
             self.capacity, max(self.level - units, -MAX_DEBT_TIME * self.plan.rate - self.capacity)
         )
 
-    def hard_limit_wait(self, units: float) -> float:
-        """Seconds until this gateway's part of the hard limit covers the units; not positive if it does."""
+    def cap_wait(self, units: float) -> float:
+        """Seconds until this gateway's part of the cap covers the units; not positive if it does."""
         plan = self.plan
-        return (units - self.hard_limit_level) * self.spread / plan.cap_rate if plan.cap_rate > 0 else 0.0
+        return (units - self.cap_level) * self.spread / plan.cap_rate if plan.cap_rate > 0 else 0.0
 
 
 class TrackedServer:
@@ -280,11 +280,12 @@
         # Adaptive concurrency limit, work in flight, factor on decay times, moving average of slow answers.
         self.limit, self.load, self.decay_scale, self.slow_ratio = ADMISSION_LIMIT, 0.0, 1.0, 0.0
         self.recent_values: deque[float] = deque(maxlen=RANKED_REQUESTS)
+        # Work/s sent to a warm server, moving average; work sent to all warm servers since warm_rate_at.
         self.warm_work_rate, self.warm_work_sent, self.warm_rate_at = 0.0, 0.0, now
-        self.failure_baseline = 0.0  # failures up to it do not distinguish servers
+        self.failure_baseline = 0.0  # failure rates up to it are ignored in the choice of a server
 
     def apply_list(self, now: float, event: api.ServerList) -> None:
-        """Apply a full list or changes; a server that returns unchanged after a list gap keeps its state."""
+        """Apply a server list; a server missing for a short time, and not restarted, keeps its state."""
         was_empty = not self.servers
         if event.kind in (api.ListKind.SNAPSHOT, api.ListKind.CACHED):
             listed = {s.name for s in event.servers}
@@ -346,7 +347,7 @@
         return max(wait, 0.7 * (now - next(iter(server.attempts.values())).sent_at))
 
     def cold_budget(self, capacity: float) -> float:
-        """Work that this gateway may send to a cold server in a window of `fall_time`."""
+        """Work that this gateway may send to a cold server in one `overload_window`."""
         settings = self.settings
         return (
             COLD_BUDGET_SAFETY
@@ -466,27 +467,26 @@
         if result not in (Result.CANCELLED, Result.NOT_SENT, Result.REJECTED):
             self.update_preferred(server, result is Result.OK)
         if result.never_ran and self.capacity(server, attempt.sent_at) >= 1:
-            self.warm_work_sent -= work  # rejected work does not show what a server can bear
+            self.warm_work_sent -= work  # work that never ran does not show what a server can bear
         if result in (Result.OK, Result.ERROR, Result.REJECTED):
             server.last_answered_send = max(server.last_answered_send, attempt.sent_at)
             for lost in [
                 other for other in server.attempts.values() if other.sent_at <= self.lost_cutoff(server)
             ]:
                 self.release_attempt(lost)
-        latency_target, usual_bound = (
+        latency_target, slow_latency = (
             attempt.latency_target,
             SLOW_LATENCY_FACTOR * self.typical_latency * work,
         )
         unanswered = result in (Result.TIMEOUT, Result.CANCELLED) and not lost_earlier
         slow = elapsed > min(
-            max(SLOW_MIN_FRACTION * latency_target, usual_bound), SLOW_MAX_FRACTION * latency_target
+            max(SLOW_MIN_FRACTION * latency_target, slow_latency), SLOW_MAX_FRACTION * latency_target
         )
         slow_by_itself = (
             self.capacity(server, now) < 1 or server.unit_latency > SLOW_SERVER_FACTOR * self.typical_latency
         )
-        if not slow_by_itself and (
-            result is Result.OK or unanswered
-        ):  # a lost or reset attempt tells nothing
+        # A lost or reset attempt is no sign of congestion.
+        if not slow_by_itself and (result is Result.OK or unanswered):
             self.slow_ratio += SLOW_RATIO_WEIGHT * (slow - self.slow_ratio)
         if slow and (result is Result.OK or unanswered):
             if not slow_by_itself and self.slow_ratio > SLOW_RATIO_LIMIT:
@@ -526,9 +526,9 @@
         attempt.work = 0.0
 
     def admits(self, value: float) -> bool:
-        """Random admission while the concurrency limit is too low to be enforced, lowest value refused first.
+        """Whether to admit a request: at random while the concurrency limit is too low to be enforced.
 
-        UNRANKED_FRACTION of it ignores the value, so that no class is starved.
+        The lowest values are refused first, but UNRANKED_FRACTION of the decisions ignore the value.
         """
         self.recent_values.append(value)
         if self.limit >= ADMISSION_LIMIT:
@@ -593,9 +593,9 @@
     server: TrackedServer
     key: tuple[int, int]  # the request's id and the attempt's index
     sent_at: float
-    work: float
-    load_at_send: float
-    latency_target: float
+    work: float  # 0 once removed from the load
+    load_at_send: float  # the server's estimated load, this attempt included
+    latency_target: float  # seconds
     zone: str
     cell: int
     in_flight: bool = True
@@ -615,6 +615,7 @@
         # Stages: "quota" (requested from the owner), "slot" (queued there for a slot), "tokens" (granted, not
         # yet available), "ready" (waits for a server), "" (sent).
         self.stage, self.value = "", 0.0
+        # Quota requests made; index of the owner (-1: not requested from one); tag of the quota requests.
         self.quota_tries, self.owner, self.tag = 0, -1, sequence & 0xFFFF
         self.done = self.streaming = self.within_quota = False
 
@@ -627,7 +628,7 @@
         return any(attempt.may_have_run for attempt in self.attempts)
 
     def retry_is_harmless(self) -> bool:
-        """Whether the client may be told that it can retry without a second execution."""
+        """Whether the client may retry: a second execution is impossible or harmless."""
         spec = self.stats.spec
         harmless = spec.idempotency is Idempotency.SAFE or (
             spec.idempotency is Idempotency.KEYED and spec.dedup_scope is DedupScope.ALL
@@ -669,13 +670,13 @@
     """Encodes and decodes the datagrams between gateways.
 
     A datagram holds magic bytes, the sender's concurrency limit, up to MAX_ENTRIES entries and a CRC-32.
-    REQUEST asks a customer's owner for units. GRANT, GRANT_EXCESS (beyond the quota), DENY and QUEUED (waits
+    REQUEST asks a customer's owner for units. GRANT, GRANT_OVERAGE (beyond the quota), DENY and QUEUED (waits
     for a slot) answer it. SETTLE corrects the units charged and releases the slot. USED_UNGRANTED reports
     units that were used without an answer.
     """
 
     ENTRY_FORMAT, MAGIC, UNIT_SCALE, MAX_ENTRIES = struct.Struct(">BHBIBhHB"), b"T2", 16, 15
-    REQUEST, GRANT, GRANT_EXCESS, DENY, SETTLE, USED_UNGRANTED, QUEUED = range(7)
+    REQUEST, GRANT, GRANT_OVERAGE, DENY, SETTLE, USED_UNGRANTED, QUEUED = range(7)
 
     @classmethod
     def pack_entry(
@@ -738,7 +739,7 @@
             now,
         )
         self.owned_quotas: dict[int, CustomerQuota] = {}  # of the customers whose owner this gateway is
-        # Answers given, by sender and tag, for repeated quota requests: kind, wait, customer, expiry time.
+        # Answers given, by sender and tag, for repeated quota requests: kind, wait, quota, expiry time.
         self.quota_answers: dict[tuple[int, int], tuple[int, float, CustomerQuota, float]] = {}
         self.answer_ratio = 1.0  # of quota requests answered in time, moving average
         self.ungranted_tags: dict[int, float] = {}  # expiry time by tag of units used without an answer
@@ -789,8 +790,8 @@
     def run_due_timers(self, now: float) -> None:
         """Run the timers that are due, and set the caller's timer to the next one.
 
-        After a stall of this process only timers that end a request run; the others are postponed until the
-        events that came in meanwhile have been processed.
+        After a stall of this process only "deadline" and "send_by" run at once; the others are postponed
+        until the events that came in meanwhile have been processed.
         """
         while self.timers and self.timers[0][0] <= now:
             due_at, _, kind, argument = heapq.heappop(self.timers)
@@ -852,7 +853,10 @@
         self.request_quota(now, job)
 
     def find_quota(self, now: float, request: api.Request) -> CustomerQuota:
-        """The state of the request's customer, created where it is new or its plan has changed."""
+        """The quota of the request's customer, created where it is new or its plan has changed.
+
+        A plan that is not configured has no limits.
+        """
         quota = self.quotas.get(request.customer_id)
         if quota is None or quota.plan.name != request.plan_name:
             plan = (
@@ -861,7 +865,7 @@
                 else api.Plan(request.plan_name)
             )
             quota = self.quotas[request.customer_id] = CustomerQuota(plan, request, self.settings, now)
-            quota.hard_limit_level = plan.cap_rate / quota.spread * (now - self.started_at)
+            quota.cap_level = plan.cap_rate / quota.spread * (now - self.started_at)
         return quota
 
     def wait_budget(self, job: Job) -> float:
@@ -902,8 +906,8 @@
     def request_quota(self, now: float, job: Job) -> None:
         """Charge a request to its bucket here, or request the units from the owner.
 
-        No quota request is sent where the owner's last denial shows that the tokens would come too late, so
-        that a customer far beyond its quota does not flood its owner.
+        The request is denied at once where the cap, or the owner's last denial, shows that the tokens would
+        come too late, so that a customer far beyond its quota does not flood its owner.
         """
         quota, job.stage, job.quota_tries, budget = (
             job.quota,
@@ -912,7 +916,7 @@
             self.wait_budget(job),
         )
         wait = max(
-            quota.hard_limit_wait(job.units),
+            quota.cap_wait(job.units),
             job.units / max(quota.plan.rate, 1e-9) - quota.owner_credit - now,
         )
         if wait > budget:
@@ -982,7 +986,7 @@
     def queue_entry(
         self, now: float, peer: int, kind: int, tag: int, quota: CustomerQuota, units: float, wait: float
     ) -> None:
-        """Queue an entry for a peer; messages are paced to what peers accept, so that entries share them."""
+        """Queue an entry for a peer. Messages are paced to what peers accept; pending entries share one."""
         fill = (
             quota.level / max(quota.plan.burst, 1e-9) if quota.key in self.owned_quotas else quota.owner_fill
         )
@@ -1007,7 +1011,7 @@
             )
 
     def owned_quota(self, now: float, key: int, plan: api.Plan, fill: float) -> CustomerQuota:
-        """The bucket of a customer that this gateway owns; `fill` is the initial level of a new one."""
+        """The bucket of a customer that this gateway owns; a new one starts at `fill` of its capacity."""
         quota = self.owned_quotas.get(key)
         if quota is None:
             quota = CustomerQuota(plan, api.Request(0, 0.0, "", plan.name, key), self.settings, now)
@@ -1023,7 +1027,7 @@
             quota.plan,
             quota.slots,
             (sender, tag),
-            SLOT_LEASE * self.fleet.typical_latency * max(1.0, units),
+            SLOT_LEASE_LATENCIES * self.fleet.typical_latency * max(1.0, units),
         )
         slot_wait = slots.expected_wait(now, self.fleet.typical_latency) if plan.max_in_flight > 0 else 0.0
         if slot_wait > max_wait:
@@ -1113,13 +1117,13 @@
                 self.release_slot(now, quota, (sender, tag))
             elif quota.plan.max_in_flight > 0:
                 quota.slots.acquire(
-                    now, (sender, tag), SLOT_LEASE * self.fleet.typical_latency * max(1.0, units)
+                    now, (sender, tag), SLOT_LEASE_LATENCIES * self.fleet.typical_latency * max(1.0, units)
                 )
         elif (
             kind == QuotaCodec.QUEUED and (job := self.waiting.get(tag)) is not None and job.stage == "quota"
         ):
             self.wait_for_slot(now, job)
-        elif kind in (QuotaCodec.GRANT, QuotaCodec.GRANT_EXCESS, QuotaCodec.DENY) and key in self.quotas:
+        elif kind in (QuotaCodec.GRANT, QuotaCodec.GRANT_OVERAGE, QuotaCodec.DENY) and key in self.quotas:
             quota, job = self.quotas[key], self.waiting.get(tag)
             quota.owner_fill = fill
             if kind == QuotaCodec.DENY and quota.plan.rate > 0:
@@ -1162,12 +1166,12 @@
                 and not quota.owners
                 and quota.in_flight >= max(1, round(max_in_flight * quota.local_share))
             )
-            if full or quota.hard_limit_wait(job.units) > 0:
+            if full or quota.cap_wait(job.units) > 0:
                 return False
         server = self.fleet.choose_server(now, work, spec.latency_target, job.eligible(self.fleet, now))
         if server is None:
             return False
-        quota.hard_limit_level -= job.units * first
+        quota.cap_level -= job.units * first
         quota.in_flight += first
         key, load = (job.request.request_id, len(job.attempts)), server.estimated_load(now) + work
         start_deadline = min(job.start_deadline(), self.fleet.start_deadline(server, now))
--- a/thymehinge/emulator/fleet.py
+++ b/thymehinge/emulator/fleet.py
@@ -34,7 +34,7 @@
 VIEW_SHARE = 0.7  # of the requests, which are of the first class
 ANSWER_KINDS = (
     QuotaCodec.GRANT,
-    QuotaCodec.GRANT_EXCESS,
+    QuotaCodec.GRANT_OVERAGE,
     QuotaCodec.DENY,
     QuotaCodec.QUEUED,
 )  # kinds of quota entry that answer a quota request
--- a/thymehinge/interface.py
+++ b/thymehinge/interface.py
@@ -78,16 +78,16 @@
     latency_target: float  # seconds; a later response counts as late
     timeout: float  # seconds after which clients of this class give up
     value: float = 1.0  # relative value of a timely response
-    late_value: float = 0.0  # relative value of a response after the latency target
+    late_value: float = 0.0  # the same after the latency target; not used by `Gateway`
     idempotency: Idempotency = Idempotency.SAFE
     dedup_scope: DedupScope = DedupScope.ALL
     dedup_window: float = 0.0  # seconds for which servers remember an idempotency key
-    streamed: bool = False  # whether responses are streamed
+    streamed: bool = False  # whether responses are streamed; not used by `Gateway`
 
 
 @dataclass(slots=True, frozen=True)
 class Plan:
-    """Quota and hard cap of each customer of a plan, summed over all gateways; 0 means no limit."""
+    """Quota and cap of each customer of a plan, summed over all gateways; 0 means no limit."""
 
     name: str
     rate: float = 0.0  # units/s at which the quota's token bucket is refilled
@@ -96,9 +96,9 @@
     value_factor: float = 1.0  # relative value of the plan's requests
     overage_value: float = 0.0  # factor on the value of a request beyond the quota
     overage_cost: float = 0.0  # cost of a request beyond the quota, on the scale of `overage_value`
-    cap_rate: float = 0.0  # units/s; refill rate of the cap, which overage must not exceed either
-    cap_burst: float = 0.0  # units; burst size of the cap
-    cap_slack: float = 0.0  # tolerance of the cap; validated but not used by `Gateway`
+    cap_rate: float = 0.0  # units/s; refill rate of the cap, a second token bucket that limits overage too
+    cap_burst: float = 0.0  # units; size of the cap's token bucket
+    cap_slack: float = 0.0  # tolerance of the cap; not used by `Gateway`
 
 
 MAX_GATEWAYS = 10**6  # in one tier
@@ -114,22 +114,24 @@
     gateway_count: int = 1  # gateways in the tier
     zone: str = ""  # this gateway's zone
     cancel_enabled: bool = True  # whether attempts in flight may be cancelled
-    probes_enabled: bool = False  # whether health probes may be sent
+    probes_enabled: bool = False  # whether health probes may be sent; not used by `Gateway`
     peers_enabled: bool = False  # whether gateways can exchange messages
     hedging_enabled: bool = False  # whether a request may have several attempts in flight
     max_attempts: int = 3  # attempts per request, the first included
     retry_after_enabled: bool = True  # whether refusals may advise a retry delay
     max_retry_after: float = 1.0  # seconds; longest retry delay to advise
     watch_required: bool = False  # whether server list updates have to be subscribed to
-    ask_within: float = 10.0  # seconds; validated but not used by `Gateway`
+    # Seconds without a subscription or a fetch after which the server list counts as outdated; not used by
+    # `Gateway`.
+    max_list_age: float = 10.0
     postpaid: bool = False  # whether outcomes report the units actually used
-    counters_enabled: bool = False  # whether counters shared by all gateways are available
-    counter_timeout: float = 0.0  # seconds until an update of a shared counter times out
+    counters_enabled: bool = False  # whether gateways share counters; not used by `Gateway`
+    counter_timeout: float = 0.0  # seconds until a counter update times out; not used by `Gateway`
     meter_period: float = 0.0  # seconds between reports of the fleet's use; 0 means none
     max_units: float = 1.0  # units of the largest request
     peer_messages_per_s: float = 0.0  # messages/s that a gateway can receive from its peers
-    load_report_source: LoadReportSource = LoadReportSource.RESPONSES
-    drain_grace: float = 1.0  # seconds after the start of a drain within which sending must stop
+    load_report_source: LoadReportSource = LoadReportSource.RESPONSES  # not used by `Gateway`
+    drain_grace: float = 1.0  # seconds from a drain's start until sending must stop; not used by `Gateway`
     slow_start_capacity: float = 1.0  # fraction of its full capacity that a server has when it starts
     slow_start_duration: float = 0.0  # seconds from its start until a server has its full capacity
     overload_multiple: float = 1.0  # load, as a multiple of its capacity, that a starting server withstands
@@ -167,7 +169,7 @@
             "meter_period",
             "peer_messages_per_s",
             "max_retry_after",
-            "ask_within",
+            "max_list_age",
         ):
             require(0 <= getattr(self, name) < float("inf"), name, getattr(self, name))
         for group, items in (("classes", self.classes), ("plans", self.plans)):
@@ -227,7 +229,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerList:
-    """A server list, changes to it, or the failure to fetch it, according to `kind`."""
+    """A snapshot or delta of the server list, or the failure to fetch it, according to `kind`."""
 
     kind: ListKind
     version: int = 0
@@ -331,7 +333,8 @@
 )
 
 
-# Actions: what the caller has to do, in the order in which they are returned.
+# Actions: what the caller has to do, in the order in which they are returned. `Gateway` returns no Probe,
+# IncrementCounter or FetchServers.
 
 
 @dataclass(slots=True, frozen=True)
@@ -361,7 +364,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Cancel:
-    """Stop waiting for an attempt."""
+    """Stop waiting for an attempt; its outcome is still reported."""
 
     request_id: int
     attempt: int  # index among the request's attempts, from 0
--- a/thymehinge/settings.py
+++ b/thymehinge/settings.py
@@ -103,7 +103,7 @@
         retry_after_enabled=get("bounds.retry_after", bool, False),
         max_retry_after=get("bounds.max_retry_after_s", float, 1.0),
         watch_required=get("discovery", {"automatic": False, "subscribe": True}, False),
-        ask_within=get("obligations.ask_within_s", float, 10.0),
+        max_list_age=get("obligations.ask_within_s", float, 10.0),
         postpaid=get("family_info.post_paid", bool, False),
         counters_enabled=get("family_info.may_count", bool, False),
         counter_timeout=get("family_info.count_limit_s", float, 0.0),
