--- a/tests/crossing_clients.py
+++ b/tests/crossing_clients.py
@@ -2,10 +2,10 @@
 
     python tests/crossing_clients.py --seed 1 --days 50
 
-A day is one run. Its seed draws how clients, table servers, discovery, signals, clocks and system calls
-misbehave, but timing differs from run to run, so a seed doesn't reproduce a failure exactly; for each one
-found, add a test that forces the interleaving, as in test_connection_end.py. Prints violations and counts;
-the exit code is 1 if a term was violated or a gateway did not exit with 0.
+`--days` is the number of runs. The seed of a run selects how clients, table servers, discovery, signals,
+clocks and system calls misbehave, but timing differs from run to run, so a seed doesn't reproduce a failure
+exactly; for each one found, add a test that forces the interleaving, as in test_connection_end.py. Prints
+violations and counts; the exit code is 1 if a term was violated or a gateway did not exit with 0.
 """
 
 from __future__ import annotations
@@ -35,9 +35,9 @@
 SERVER_COUNT = 12
 ANSWER_SLACK = 0.55  # seconds past its timeout in which an answer is accepted, including this process's delay
 CLOSE_RACE_WINDOW = 0.02  # seconds before the end of a connection in which a request may stay unread
-STALL_ALLOWANCE = 0.3  # seconds more if the connection was reset: the gateway may stall twice
+STALL_ALLOWANCE = 0.3  # seconds added if the connection was reset, since the gateway may stall twice
 UNKNOWN_COMMAND = hiredis.pack_command(("NONSENSE",))
-CONNECTION_KINDS = (
+CONNECTION_KINDS = (  # of equal weight; "chain" is listed twice to be as frequent as two others
     "pipelined",
     "half",
     "nonsense",
@@ -49,9 +49,13 @@
     "large body",
     "leaves",
 )
-IDEMPOTENCY = {"lookup": "read_like", "order": "idempotency_key", "once": "non_idempotent"}
+IDEMPOTENCY = {  # request class -> the value of `repeat` in the settings
+    "lookup": "read_like",
+    "order": "idempotency_key",
+    "once": "non_idempotent",
+}
 DEDUP_WINDOW = 0.4  # seconds
-DRAIN_GRACE = 1.0  # seconds in which a server that drains may still be sent requests
+DRAIN_GRACE = 1.0  # seconds for which a draining server may still be sent requests
 KILL_DELAY = 3.7  # seconds from SIGTERM to the earliest SIGKILL, for deadlines of 3 s and more
 
 
@@ -198,7 +202,7 @@
         if connection.kind == "leaves":
             for request in connection.requests[len(connection.answers) :]:
                 self.checker.records[request.request_id].closed_at = time.monotonic()
-                self.outcome_counts["left"] += 1
+                self.outcome_counts["client closed"] += 1
             connection.requests = connection.requests[: len(connection.answers)]
         for i, request in enumerate(connection.requests):
             if str(connection.answers[i][0] if i < len(connection.answers) else "").startswith("BUSY"):
@@ -212,21 +216,21 @@
         """Returns the outcome of a connection's request at an index; upper case is a violation."""
         if index >= len(connection.answers):
             unread_window = CLOSE_RACE_WINDOW + connection.was_reset * STALL_ALLOWANCE
-            crossed = (
+            raced_close = (
                 connection.ended_at is not None and connection.ended_at - request.sent_at < unread_window
             )
-            return "crossed the end" if crossed else "NO ANSWER"
+            return "unread at close" if raced_close else "NO ANSWER"
         answer, answered_at = connection.answers[index]
         if "Protocol error" in str(answer):
-            return "ERROR BEFORE ITS ANSWER"
+            return "PROTOCOL ERROR BEFORE ANSWER"
         if isinstance(answer, bytes) and not answer.startswith(request.request_id):
-            return "ANOTHER'S ANSWER"
+            return "ANSWER TO ANOTHER REQUEST"
         started_at = max(request.sent_at, connection.answers[index - 1][1]) if index else request.sent_at
         if (
             connection.kind != "slow reader"
             and answered_at - started_at > request.timeout + ANSWER_SLACK + self.checker.max_lag
         ):
-            return "LATE"
+            return "LATE ANSWER"
         return "served" if isinstance(answer, bytes) else "refused or failed"
 
 
@@ -246,10 +250,10 @@
     return raw_config(settings=settings, limits=limits, known=known, **addresses)
 
 
-async def play_day(options: argparse.Namespace) -> tuple[int, Counter[str], list[str]]:
-    """Plays one day; returns the gateway's exit code, counts of outcomes and violations, and the faults.
+async def run_soak(options: argparse.Namespace) -> tuple[int, Counter[str], list[str]]:
+    """Runs the program once under load and faults, and stops it while clients still send requests.
 
-    The gateway is stopped while clients still send requests.
+    Returns the gateway's exit code, counts of outcomes and violations, and the names of the faults.
     """
     checker = TermsChecker(DEDUP_WINDOW, DRAIN_GRACE)
     servers = [FaultyTableServer(f"s{i}", "ab"[i % 2], options.seed, checker) for i in range(SERVER_COUNT)]
@@ -302,17 +306,17 @@
 
 
 async def main(options: argparse.Namespace) -> int:
-    """Plays the days one after another and prints their results; returns 1 if any of them failed."""
-    failed_days = 0
+    """Runs one seed after another and prints the results; returns 1 if any run failed."""
+    failed_runs = 0
     for seed in range(options.seed, options.seed + options.days):
         options.seed = seed
-        code, counts, faults = await play_day(options)
+        code, counts, faults = await run_soak(options)
         print(
-            f"seed {seed}: exit code {code}, {', '.join(faults) or 'no trouble'}: {dict(counts)}",
+            f"seed {seed}: exit code {code}, {', '.join(faults) or 'no faults'}: {dict(counts)}",
             flush=True,
         )
-        failed_days += code != 0 or any(outcome.isupper() for outcome in counts)
-    return int(failed_days > 0)
+        failed_runs += code != 0 or any(outcome.isupper() for outcome in counts)
+    return int(failed_runs > 0)
 
 
 if __name__ == "__main__":
@@ -321,6 +325,6 @@
     parser.add_argument("--clients", type=int, default=85, help="a third of the descriptors by default")
     parser.add_argument("--sockets", type=int, default=256, help="descriptors of the gateway")
     parser.add_argument("--seconds", type=float, default=12.0, help="before SIGTERM")
-    parser.add_argument("--tree", type=Path, default=ROOT, help="a checkout whose program is played")
-    parser.add_argument("--days", type=int, default=1, help="how many seeds from the first one on")
+    parser.add_argument("--tree", type=Path, default=ROOT, help="root of the checkout whose program is run")
+    parser.add_argument("--days", type=int, default=1, help="number of runs, with consecutive seeds")
     sys.exit(asyncio.run(main(parser.parse_args())))
--- a/tests/discoverykit.py
+++ b/tests/discoverykit.py
@@ -87,7 +87,7 @@
         self.changed = asyncio.Event()
 
     async def handle_hosts(self, request: web.Request) -> web.Response:
-        """Answers with a snapshot, or with the changes since a version once there are any."""
+        """Answers with a snapshot, or a long poll with the changes since a version, if any by its timeout."""
         self.calls += 1
         received_at, since = time.monotonic(), request.query.get("since")
         if since is not None and int(since) >= self.version:
--- a/tests/faultkit.py
+++ b/tests/faultkit.py
@@ -1,6 +1,6 @@
 """Fault injection into a gateway process: an LD_PRELOAD library (tests/faults.c) and its control file.
 
-System calls fail, are interrupted or stall, and the wall clock steps.
+System calls fail, are interrupted, transfer fewer bytes or stall, and the wall clock steps.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 import pytest
 
 FAULTS_SOURCE = Path(__file__).with_name("faults.c")
-CONTROL_FIELDS = (  # of `struct control` in faults.c, in its order; *_share: of 1,000 calls
+CONTROL_FIELDS = (  # of `struct control` in faults.c, in its order; *_share: affected calls per 1,000
     "clock_step_ms",
     "error",  # errno of calls that fail
     "socket_share",
@@ -46,7 +46,7 @@
 
 
 class FaultInjector:
-    """Controls the faults of one process while it runs; start the process with `environ`."""
+    """Controls the faults of one process, which must be started with `environ` in its environment."""
 
     def __init__(self, folder: Path, **fields: int) -> None:
         self.path = folder / "faults"
@@ -57,7 +57,7 @@
         self.set(**{"seed": 1} | fields)
 
     def excess_stall(self) -> float:
-        """Returns the seconds by which the longest stall exceeded stall_ms, as on a busy machine."""
+        """Returns the seconds by which the longest stall exceeded stall_ms, as happens on a busy machine."""
         longest, configured = self.get("longest_stall_ms"), self.get("stall_ms")
         return max(0, longest - configured) / 1000
 
--- a/tests/faults.c
+++ b/tests/faults.c
@@ -17,7 +17,7 @@
 #include <time.h>
 #include <unistd.h>
 
-/* Same order as faultkit.CONTROL_FIELDS; *_share: of 1,000 calls. */
+/* Same order as faultkit.CONTROL_FIELDS; *_share: affected calls per 1,000. */
 struct control {
     int64_t clock_step_ms, error, socket_share, accept_share, connect_share, open_share, epoll_share;
     int64_t interrupt_share, short_share, stall_share, stall_ms, seed;
@@ -35,7 +35,7 @@
 
 #define REAL(name) ((__typeof__(&name))dlsym(RTLD_NEXT, #name))
 
-/* Whether to inject a fault into this call, by a generator whose state is the seed. */
+/* Decides at random whether to inject a fault into this call; `seed` holds the state of the generator. */
 static int draw_fault(int64_t share) {
     if (share <= 0) return 0;
     uint64_t state = (uint64_t)faults->seed * 6364136223846793005u + 1442695040888963407u;
@@ -99,7 +99,7 @@
 int socketpair(int domain, int type, int protocol, int pair[2]) { return inject_error(faults->socket_share) ? -1 : REAL(socketpair)(domain, type, protocol, pair); }
 int epoll_create1(int flags) { return inject_error(faults->epoll_share) ? -1 : REAL(epoll_create1)(flags); }
 int accept4(int fd, struct sockaddr *address, socklen_t *size, int flags) { return inject_error(faults->accept_share) ? -1 : REAL(accept4)(fd, address, size, flags); }
-int connect(int fd, const struct sockaddr *to, socklen_t size) { return inject_error(faults->connect_share) ? -1 : REAL(connect)(fd, to, size); }
+int connect(int fd, const struct sockaddr *address, socklen_t size) { return inject_error(faults->connect_share) ? -1 : REAL(connect)(fd, address, size); }
 
 /* Whether opening this path, if it is the gateway's configuration, is to fail. */
 static int inject_open_error(const char *path) {
@@ -107,10 +107,10 @@
     return faults->open_share && config && !strcmp(path, config) && inject_error(faults->open_share);
 }
 int open64(const char *path, int flags, ...) {
-    va_list more;
-    va_start(more, flags);
-    mode_t mode = va_arg(more, mode_t);
-    va_end(more);
+    va_list arguments;
+    va_start(arguments, flags);
+    mode_t mode = va_arg(arguments, mode_t);
+    va_end(arguments);
     return inject_open_error(path) ? -1 : REAL(open64)(path, flags, mode);
 }
 
--- a/tests/fleet_needs.py
+++ b/tests/fleet_needs.py
@@ -2,7 +2,7 @@
 
     python tests/fleet_needs.py
 
-Prints each resource with the operators' bound; the exit code is 1 if a bound is exceeded.
+Prints each resource with the operators' bound; the exit code is 1 if a bound is violated.
 """
 
 from __future__ import annotations
@@ -52,7 +52,10 @@
     served: int = 0  # requests
 
     def bounds(self, servers: int) -> ResourceUsage:
-        """Returns the operators' bounds for this many servers, where this is the baseline's usage."""
+        """Returns the operators' bounds for this many servers, where this is the baseline's usage.
+
+        `served` has a lower bound, the others upper ones.
+        """
         thousands = servers / 1000
         return ResourceUsage(
             1.4 * self.cpu + 0.02 + 0.12 * thousands,
@@ -75,8 +78,10 @@
         entries = []
         for i in range(self.count):
             listener = await asyncio.start_server(self.serve, HOST, 0)
-            dial = "{}:{}".format(*listener.sockets[0].getsockname())
-            entries.append(SERVER_ENTRY | {"host": f"s-{i:08x}", "dial": dial, "class": "m2", "born_ms": 0})
+            address = "{}:{}".format(*listener.sockets[0].getsockname())
+            entries.append(
+                SERVER_ENTRY | {"host": f"s-{i:08x}", "dial": address, "class": "m2", "born_ms": 0}
+            )
         return entries
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -131,13 +136,13 @@
     resource.setrlimit(resource.RLIMIT_NOFILE, (resource.getrlimit(resource.RLIMIT_NOFILE)[1],) * 2)
     baseline = await measure(BASELINE_SERVERS)
     large, bounds = await measure(LARGE_SERVERS), baseline.bounds(LARGE_SERVERS)
-    exceeded = 0
+    violations = 0
     for name in vars(baseline):
         values = [getattr(usage, name) for usage in (baseline, large, bounds)]
         violated = values[1] < values[2] if name == "served" else values[1] > values[2]
-        exceeded += violated
-        print(f"{name}: {values[0]:.5g} -> {values[1]:.5g}, bound {values[2]:.5g}{' PASSED' * violated}")
-    return int(exceeded > 0)
+        violations += violated
+        print(f"{name}: {values[0]:.5g} -> {values[1]:.5g}, bound {values[2]:.5g}{' VIOLATED' * violated}")
+    return int(violations > 0)
 
 
 if __name__ == "__main__":
--- a/tests/fleetkit.py
+++ b/tests/fleetkit.py
@@ -25,12 +25,15 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt of a request at a table server; gateway -1 stands for background load."""
+    """One attempt of a request at a table server; gateway -1 stands for background load.
+
+    `work` is relative to the mean work of a request.
+    """
 
     gateway: int
     work: float
     incarnation: int = 0
-    request: int = 0
+    request_id: int = 0
     index: int = 0
     server: str = ""
     sent_at: float = 0.0
@@ -53,8 +56,8 @@
 class FleetModel(Clock):
     """Gateways, table servers and Poisson traffic.
 
-    `weights` distribute the requests over the gateways, `rate` is in requests per second and
-    `mean_service_time` in seconds.
+    `settings` are keyword arguments of api.Settings, `weights` distribute the requests over the gateways,
+    `rate` is in requests per second and `mean_service_time` in seconds.
     """
 
     def __init__(
@@ -84,7 +87,7 @@
         self.incarnations = [0] * len(weights)
         self.gateways = [Gateway(s, self.rng.getrandbits(32), self.now) for s in self.settings]
         self.attempts: list[dict[int, list[Attempt]]] = [{} for _ in weights]
-        self.pending_work: list[dict[int, float]] = [{} for _ in weights]  # request -> its work
+        self.pending_work: list[dict[int, float]] = [{} for _ in weights]  # request id -> its work
         self.call_later(0.0, self.generate_request)
 
     # Events of a scenario.
@@ -111,39 +114,41 @@
     def publish_list(self, names: Sequence[str], spread: float = 0.0) -> None:
         """Sends a snapshot to all gateways, to each within `spread` seconds."""
         self.server_list = tuple(self.servers[name].entry for name in names)
-        for index in range(len(self.gateways)):
-            self.call_later(self.rng.uniform(0, spread), self.deliver_list, index, self.server_list)
+        for gateway in range(len(self.gateways)):
+            self.call_later(self.rng.uniform(0, spread), self.deliver_list, gateway, self.server_list)
 
-    def deliver_list(self, index: int, servers: tuple[api.Server, ...]) -> None:
-        self.deliver(index, self.incarnations[index], api.ServerList(api.ListKind.SNAPSHOT, 1, servers))
+    def deliver_list(self, gateway: int, servers: tuple[api.Server, ...]) -> None:
+        self.deliver(gateway, self.incarnations[gateway], api.ServerList(api.ListKind.SNAPSHOT, 1, servers))
 
     def restart_gateways(self, share: float, spread: float = 0.0) -> None:
         """Restarts a random share of the gateways, each within `spread` seconds."""
-        for index in self.rng.sample(range(len(self.gateways)), round(share * len(self.gateways))):
-            self.call_later(self.rng.uniform(0, spread), self.restart_gateway, index)
+        for gateway in self.rng.sample(range(len(self.gateways)), round(share * len(self.gateways))):
+            self.call_later(self.rng.uniform(0, spread), self.restart_gateway, gateway)
 
-    def restart_gateway(self, index: int) -> None:
+    def restart_gateway(self, gateway: int) -> None:
         """Replaces a gateway by a new one with the current list; its requests are lost."""
-        self.incarnations[index] += 1
-        self.gateways[index] = Gateway(self.settings[index], self.rng.getrandbits(32), self.now)
-        self.attempts[index], self.pending_work[index] = {}, {}
-        self.deliver_list(index, self.server_list)
+        self.incarnations[gateway] += 1
+        self.gateways[gateway] = Gateway(self.settings[gateway], self.rng.getrandbits(32), self.now)
+        self.attempts[gateway], self.pending_work[gateway] = {}, {}
+        self.deliver_list(gateway, self.server_list)
 
     # Traffic and table servers.
 
     def generate_request(self) -> None:
         """Gives one request to a random gateway and schedules the next."""
         self.call_later(self.rng.expovariate(self.request_rate), self.generate_request)
-        index = self.rng.choices(range(len(self.cumulative_weights)), cum_weights=self.cumulative_weights)[0]
+        gateway = self.rng.choices(range(len(self.cumulative_weights)), cum_weights=self.cumulative_weights)[
+            0
+        ]
         request_class = self.rng.choices(list(CLASS_MIX), [share for share, _ in CLASS_MIX.values()])[0]
         self.request_count += 1
-        self.pending_work[index][self.request_count] = CLASS_MIX[request_class][1] * self.rng.gammavariate(
+        self.pending_work[gateway][self.request_count] = CLASS_MIX[request_class][1] * self.rng.gammavariate(
             WORK_SHAPE, 1 / WORK_SHAPE
         )
         customer = self.rng.randrange(4)
         self.deliver(
-            index,
-            self.incarnations[index],
+            gateway,
+            self.incarnations[gateway],
             api.Request(self.request_count, request_class.timeout, request_class.name, "open", customer),
         )
 
@@ -152,25 +157,28 @@
         self.call_later(self.rng.expovariate(rate), self.generate_background, server, rate)
         self.receive(server, Attempt(-1, self.rng.gammavariate(WORK_SHAPE, 1 / WORK_SHAPE)))
 
-    def deliver(self, index: int, incarnation: int, event: api.Event) -> None:
-        """Passes an event to a gateway, unless that has restarted since, and performs its actions."""
-        if incarnation != self.incarnations[index]:
+    def deliver(self, gateway: int, incarnation: int, event: api.Event) -> None:
+        """Passes an event to a gateway and performs its actions.
+
+        Ignores events for an earlier incarnation of the gateway.
+        """
+        if incarnation != self.incarnations[gateway]:
             return
-        for action in self.gateways[index].handle(self.now, event):
+        for action in self.gateways[gateway].handle(self.now, event):
             match action:
                 case api.SetTimer():
                     self.call_later(
                         max(0.0, action.due_at - self.now),
                         self.deliver,
-                        index,
+                        gateway,
                         incarnation,
                         api.TimerDue(action.tag),
                     )
                 case api.Send():
-                    attempts = self.attempts[index].setdefault(action.request_id, [])
-                    work, server = self.pending_work[index][action.request_id], self.servers[action.server]
+                    attempts = self.attempts[gateway].setdefault(action.request_id, [])
+                    work, server = self.pending_work[gateway][action.request_id], self.servers[action.server]
                     attempt = Attempt(
-                        index, work, incarnation, action.request_id, len(attempts), action.server, self.now
+                        gateway, work, incarnation, action.request_id, len(attempts), action.server, self.now
                     )
                     attempts.append(attempt)
                     server.sent_work.append((self.now, work))
@@ -178,7 +186,7 @@
                     self.call_later(action.deadline - self.now, self.finish_attempt, attempt, Result.TIMEOUT)
                 case api.Cancel():
                     self.finish_attempt(
-                        self.attempts[index][action.request_id][action.attempt], Result.CANCELLED
+                        self.attempts[gateway][action.request_id][action.attempt], Result.CANCELLED
                     )
 
     def capacity_fraction(self, server: TableServer, now: float) -> float:
@@ -192,7 +200,7 @@
         )
 
     def receive(self, server: TableServer, attempt: Attempt) -> None:
-        """An attempt reaches a server, which starts, queues or rejects it."""
+        """Starts, queues or rejects an attempt that has reached a server."""
         if server.busy_cores >= server.cores and len(server.queue) >= server.queue_limit:
             return self.call_later(NETWORK_DELAY, self.finish_attempt, attempt, Result.REJECTED)
         if attempt.gateway >= 0:
@@ -212,7 +220,7 @@
         )
 
     def finish_work(self, server: TableServer, attempt: Attempt) -> None:
-        """Frees a core, starts queued attempts that are still wanted, and answers."""
+        """Frees a core, starts queued attempts that are not cancelled or timed out, and answers."""
         server.busy_cores -= 1
         while server.queue and server.busy_cores < server.cores:
             following = server.queue.popleft()
@@ -226,7 +234,7 @@
             return
         attempt.finished, final = True, result in (Result.OK, Result.CANCELLED)
         outcome = api.Outcome(
-            attempt.request, attempt.index, attempt.server, result, self.now - attempt.sent_at, final
+            attempt.request_id, attempt.index, attempt.server, result, self.now - attempt.sent_at, final
         )
         self.call_later(0.0, self.deliver, attempt.gateway, attempt.incarnation, outcome)
 
--- a/tests/netkit.py
+++ b/tests/netkit.py
@@ -48,10 +48,10 @@
     }
 
 
-def host_list(version: int = 1, snapshot: bool = True, **dials: Any) -> HostList:
+def host_list(version: int = 1, snapshot: bool = True, **servers: Any) -> HostList:
     """Returns a list of servers by name: an address, (address, health), or None for a server that is gone."""
     entries = []
-    for name, value in dials.items():
+    for name, value in servers.items():
         dial, health = value if isinstance(value, tuple) else (value, "Ready" if value else "Gone")
         entries.append(
             {"host": name, "dial": dial, "site": "a", "block": 0, "health": health, "share": 1, "born_ms": 0}
@@ -83,7 +83,7 @@
     async def read(self) -> Any:
         """Returns the next message. Raises EOFError at the end of the stream, TimeoutError on a timeout."""
         async with asyncio.timeout(WAIT_TIMEOUT):
-            while (message := self.parser.gets()) is self:
+            while (message := self.parser.gets()) is self:  # incomplete
                 data = await self.stream_reader.read(65536)
                 if not data:
                     raise EOFError
@@ -183,8 +183,8 @@
 async def harness_with_server(**overrides: Any) -> tuple[GatewayHarness, asyncio.Queue[RespConnection]]:
     """Returns a gateway that knows one server, s1, and the connections which that server accepts."""
     harness = GatewayHarness(**overrides)
-    dial, connections = await harness.start_server()
-    harness.driver.on_list(host_list(s1=dial))
+    address, connections = await harness.start_server()
+    harness.driver.on_list(host_list(s1=address))
     return harness, connections
 
 
--- a/tests/quotakit.py
+++ b/tests/quotakit.py
@@ -9,26 +9,26 @@
 
 def send_paced(gateway: CheckedGateway, seconds: float, interval: float, **request: object) -> list[int]:
     """Sends requests at a fixed interval (seconds), answers all their attempts; returns the request ids."""
-    ids, end = [], gateway.now + seconds
+    request_ids, end = [], gateway.now + seconds
     while gateway.now < end:
-        ids.append(gateway.request(**request))
-        for number in [number for number in gateway.attempts if gateway.in_flight(number)]:
-            gateway.end_attempt(number)
+        request_ids.append(gateway.request(**request))
+        for request_id in [r for r in gateway.attempts if gateway.in_flight(r)]:
+            gateway.end_attempt(request_id)
         gateway.run(interval)
-    return ids
+    return request_ids
 
 
-def count_sent(gateway: CheckedGateway, ids: list[int]) -> int:
+def count_sent(gateway: CheckedGateway, request_ids: list[int]) -> int:
     """Counts the requests of which at least one attempt was sent."""
-    return sum(bool(gateway.attempts.get(request)) for request in ids)
+    return sum(bool(gateway.attempts.get(request_id)) for request_id in request_ids)
 
 
 class GatewayGroup:
     """Gateways with three servers whose peer messages arrive after 10 ms, unless `is_lost` drops them."""
 
-    def __init__(self, count: int, **changes: object) -> None:
+    def __init__(self, count: int, **overrides: object) -> None:
         self.members = [
-            CheckedGateway(make_settings(gateway_count=count, gateway_index=i, **changes), seed=i)
+            CheckedGateway(make_settings(gateway_count=count, gateway_index=i, **overrides), seed=i)
             for i in range(count)
         ]
         self.log_positions = [0] * count
@@ -37,19 +37,19 @@
             gateway.deliver(server_list("s1", "s2", "s3"))
 
     def run(self, seconds: float, answer: bool = True) -> None:
-        """Advances all gateways by so much time; with `answer`, all their attempts succeed."""
+        """Advances all gateways by this much time; with `answer`, all their attempts succeed."""
         for _ in range(round(seconds / 0.01)):
             messages = []
-            for i, gateway in enumerate(self.members):
+            for index, gateway in enumerate(self.members):
                 messages += [
-                    (i, a)
-                    for _, a in gateway.action_log[self.log_positions[i] :]
+                    (index, a)
+                    for _, a in gateway.action_log[self.log_positions[index] :]
                     if isinstance(a, api.SendToPeer)
                 ]
-                self.log_positions[i] = len(gateway.action_log)
+                self.log_positions[index] = len(gateway.action_log)
                 gateway.run(0.01)
-                for number in [n for n in gateway.attempts if answer and gateway.in_flight(n)]:
-                    gateway.end_attempt(number)
+                for request_id in [r for r in gateway.attempts if answer and gateway.in_flight(r)]:
+                    gateway.end_attempt(request_id)
             for sender, action in messages:
                 if not self.is_lost(sender, action.body):
                     self.members[action.peer].deliver(api.PeerMessage(sender, action.body))
@@ -60,15 +60,15 @@
 
 
 def customer_owned_by(gateway: CheckedGateway, owner: int) -> int:
-    """Returns the id of a customer that all gateways serve and whose quota this gateway owns."""
+    """Returns the id of a customer that all gateways serve; the gateway of index `owner` owns its quota."""
     settings = gateway.settings
-    customers = (
+    quotas = (
         gateway.wrapped.find_quota(
-            gateway.now, api.Request(0, 1.0, "", "hard", key, spread=settings.gateway_count)
+            gateway.now, api.Request(0, 1.0, "", "hard", customer, spread=settings.gateway_count)
         )
-        for key in range(1000)
+        for customer in range(1000)
     )
-    return next(c.key for c in customers if c.owners[0] == owner)
+    return next(quota.key for quota in quotas if quota.owners[0] == owner)
 
 
 def count_peer_messages(gateway: CheckedGateway) -> int:
--- a/tests/rules.py
+++ b/tests/rules.py
@@ -1,4 +1,7 @@
-"""Runs one gateway on a simulated clock and checks every action against the five rules; models no server."""
+"""Runs one gateway on a simulated clock and checks each action: timely answers, safe attempts and refusals.
+
+Servers are not simulated: a test ends the attempts itself.
+"""
 
 from __future__ import annotations
 
@@ -27,11 +30,11 @@
 HARD = api.Plan("hard", rate=4.0, burst=8.0, overage_cost=1.0)
 SOFT = api.Plan("soft", rate=4.0, burst=8.0, overage_value=0.3)
 CAPPED = api.Plan("capped", rate=4.0, burst=8.0, cap_rate=8.0, cap_burst=16.0, cap_slack=1.0)
-ANSWER_GRACE = 0.016  # seconds after a request's deadline
+ANSWER_GRACE = 0.016  # seconds after a request's deadline in which its answer is accepted
 
 
-def make_settings(**changes: object) -> api.Settings:
-    """Returns the settings of a deployment of three gateways, with some fields changed."""
+def make_settings(**overrides: object) -> api.Settings:
+    """Returns the settings of a deployment of three gateways, with some fields overridden."""
     base: dict[str, object] = dict(
         classes=(LOOKUP, KEYED, KEYED_ALL, UNSAFE),
         plans=(HARD, SOFT, CAPPED),
@@ -48,33 +51,33 @@
         tick=0.001,
         max_units=4.0,
     )
-    return api.Settings(**{**base, **changes})
+    return api.Settings(**{**base, **overrides})
 
 
-def server_list(*names: str, **changes: object) -> api.ServerList:
-    """Returns a snapshot of running servers, which alternate between zones a and b."""
+def server_list(*names: str, **fields: object) -> api.ServerList:
+    """Returns a snapshot of running servers in zones a and b in turn; `fields` apply to each of them."""
     return api.ServerList(
         api.ListKind.SNAPSHOT,
         1,
-        tuple(api.Server(name, zone="ab"[i % 2], cell=i % 2, **changes) for i, name in enumerate(names)),
+        tuple(api.Server(name, zone="ab"[i % 2], cell=i % 2, **fields) for i, name in enumerate(names)),
     )
 
 
 class CheckedGateway:
     """A gateway with a simulated clock and timers; raises AssertionError if an action breaks a rule."""
 
-    def __init__(self, given: api.Settings | None = None, seed: int = 1, now: float = 100.0) -> None:
-        self.settings, self.now = given or make_settings(), now
+    def __init__(self, settings: api.Settings | None = None, seed: int = 1, now: float = 100.0) -> None:
+        self.settings, self.now = settings or make_settings(), now
         self.wrapped = Gateway(self.settings, seed, now)
         self.requests: dict[int, tuple[api.Request, float]] = {}  # request id -> request, time received
-        self.attempts: dict[int, list[list]] = {}  # request id -> [server, time sent, result or None, entry]
+        self.attempts: dict[int, list[list]] = {}  # request id -> [server, time sent, result or None, Server]
         self.final_actions: dict[int, api.Action] = {}
         self.answered_at: dict[int, float] = {}
         self.listed: dict[str, api.Server] = {}
         self.out_of_service: set[str] = set()
         self.timers: list[tuple[float, int]] = []
         self.action_log: list[tuple[float, api.Action]] = []
-        self.last_request = 0
+        self.last_request_id = 0
 
     def deliver(self, event: api.Event) -> list[api.Action]:
         """Passes an event to the gateway, checks the actions and returns them."""
@@ -141,7 +144,7 @@
 
     def request(
         self,
-        cls: str = "lookup",
+        class_name: str = "lookup",
         plan: str = "hard",
         customer: int = 7,
         time_left: float = 3.0,
@@ -149,37 +152,37 @@
         spread: int = 1,
     ) -> int:
         """Delivers a new request and returns its id."""
-        self.last_request += 1
-        request = api.Request(self.last_request, time_left, cls, plan, customer, units, spread, 0)
-        self.requests[self.last_request] = (request, self.now)
+        self.last_request_id += 1
+        request = api.Request(self.last_request_id, time_left, class_name, plan, customer, units, spread, 0)
+        self.requests[self.last_request_id] = (request, self.now)
         self.deliver(request)
-        return self.last_request
+        return self.last_request_id
 
     def end_attempt(
-        self, request: int, result: Result = Result.OK, attempt: int = -1, **more: object
+        self, request_id: int, result: Result = Result.OK, attempt: int = -1, **outcome_fields: object
     ) -> list[api.Action]:
         """Ends an attempt of a request, by default the last one; returns the gateway's actions."""
-        attempts = self.attempts[request]
+        attempts = self.attempts[request_id]
         attempt %= len(attempts)
         attempts[attempt][2] = result
-        final = request in self.final_actions or result is Result.OK
-        if result is Result.OK and request not in self.final_actions:
-            self.record_answer(request, "served")
+        final = request_id in self.final_actions or result is Result.OK
+        if result is Result.OK and request_id not in self.final_actions:
+            self.record_answer(request_id, "served")
         return self.deliver(
             api.Outcome(
-                request,
+                request_id,
                 attempt,
                 attempts[attempt][0],
                 result,
                 self.now - attempts[attempt][1],
                 final,
-                **more,
+                **outcome_fields,
             )
         )
 
-    def in_flight(self, request: int) -> int:
+    def in_flight(self, request_id: int) -> int:
         """Counts the attempts of a request that have not ended."""
-        return sum(attempt[2] is None for attempt in self.attempts.get(request, []))
+        return sum(attempt[2] is None for attempt in self.attempts.get(request_id, []))
 
     def run(self, seconds: float) -> None:
         """Advances the clock and fires the timers that come due."""
--- a/tests/soak_troubles.py
+++ b/tests/soak_troubles.py
@@ -15,7 +15,7 @@
 from netkit import HOST, success_reply
 from term_judge import ServerAttempt, TermsChecker
 
-DEADLINE_FIELD = re.compile(rb"d=([0-9]+)")
+TIMEOUT_FIELD = re.compile(rb"d=([0-9]+)")
 
 
 class FaultyTableServer:
@@ -29,8 +29,8 @@
     async def listen(self) -> dict:
         """Starts the server and returns its discovery entry."""
         listener = await asyncio.start_server(self.serve, HOST, 0)
-        dial = "{}:{}".format(*listener.sockets[0].getsockname())
-        return SERVER_ENTRY | {"host": self.name, "dial": dial, "site": self.zone}
+        address = "{}:{}".format(*listener.sockets[0].getsockname())
+        return SERVER_ENTRY | {"host": self.name, "dial": address, "site": self.zone}
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Serves one connection, whose end cancels its attempts."""
@@ -41,7 +41,7 @@
             while data := await reader.read(65536):
                 parser.feed(data)
                 while (words := parser.gets()) is not False:
-                    timeout_ms = int(DEADLINE_FIELD.search(words[3])[1])
+                    timeout_ms = int(TIMEOUT_FIELD.search(words[3])[1])
                     attempts.append(self.checker.attempt_received(words[2], self.name, self.zone, timeout_ms))
                     queue.put_nowait((words, attempts[-1]))
         ended.set()
@@ -72,7 +72,7 @@
 
 
 class FaultSchedule:
-    """The faults of one run, selected by its seed. Each is a coroutine method that lasts for the run."""
+    """The faults of one run, selected by its seed. Each is a coroutine method, cancelled at its end."""
 
     def __init__(
         self,
@@ -91,12 +91,12 @@
         self.checker, self.active_discovery = checker, 0  # index of the one that the configuration names
         kinds = (
             self.clock_steps,
-            self.calls_fail,
+            self.syscall_failures,
             self.stalls,
             self.drains,
-            self.moves,
+            self.discovery_switches,
             self.hangs,
-            self.slow,
+            self.slow_discovery,
         )
         self.selected = [kind for kind in kinds if self.rng.random() < 0.5]
 
@@ -109,7 +109,7 @@
             await self.pause()
             self.injector.set(clock_step_ms=self.rng.choice((-3_600_000, -5_000, 0, 5_000, 3_600_000)))
 
-    async def calls_fail(self) -> None:
+    async def syscall_failures(self) -> None:
         """Interrupts and shortens transfers; makes socket calls fail for a while."""
         self.injector.set(interrupt_share=50, short_share=100)
         while True:
@@ -131,7 +131,7 @@
                 discovery.update_entry(server.name, health="Terminating")
             self.checker.drained_at[server.name] = time.monotonic()
 
-    async def moves(self) -> None:
+    async def discovery_switches(self) -> None:
         """Switches the gateway's configuration between the two discovery servers."""
         while True:
             await self.pause()
@@ -144,8 +144,8 @@
             await self.pause()
             server.hanging = True
 
-    async def slow(self) -> None:
-        """Delays the answers of discovery, and drops the calls that are pending after a pause."""
+    async def slow_discovery(self) -> None:
+        """Delays the answers of discovery and never answers the calls that are pending after a pause."""
         for discovery in self.discoveries:
             discovery.delay = self.rng.choice((0.3, 0.8, 2.0))
         await self.pause()
--- a/tests/term_judge.py
+++ b/tests/term_judge.py
@@ -7,9 +7,9 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-TIMING_SLACK = 0.05  # seconds that the protocol adds to each limit on sockets
-DEADLINE_SLACK = 0.15  # seconds by which the time sent to a server may exceed what is left to the client
-CLIENT_CLOSE_DELAY = 0.1  # seconds after a client's close in which an attempt may still begin
+TIMING_SLACK = 0.05  # seconds added to each limit when it is measured on sockets
+DEADLINE_SLACK = 0.15  # seconds by which a forwarded timeout may exceed the client's remaining time
+CLIENT_CLOSE_DELAY = 0.1  # seconds after a client's close in which an attempt may still start
 PROPAGATION_TIME = 6.0  # seconds after which the gateway must know a change of the server list
 LAG_CONFIRM_DELAY = 0.5  # seconds until this process has measured its own lag
 END_READ_DELAY = 0.1  # seconds in which this process may read an attempt's end after the next one's start
@@ -58,58 +58,62 @@
         self.violations[kind] += 1
         print(f"{kind} {request.decode()} {self.records.get(request)} {text}")
 
-    def check_late(self, kind: str, request: bytes, by: float) -> None:
-        """Records a violation if an event was `by` seconds past its limit.
+    def check_late(self, kind: str, request: bytes, overrun: float) -> None:
+        """Records a violation if an event was `overrun` seconds past its limit.
 
         Lag of this process and excess stalls of the gateway are allowed for; the decision waits until the
         current lag has been measured.
         """
-        if by > self.max_lag:
-            asyncio.get_running_loop().call_later(LAG_CONFIRM_DELAY, self.confirm_late, kind, request, by)
+        if overrun > self.max_lag:
+            asyncio.get_running_loop().call_later(
+                LAG_CONFIRM_DELAY, self.confirm_late, kind, request, overrun
+            )
 
-    def confirm_late(self, kind: str, request: bytes, by: float) -> None:
-        if by > self.max_lag + self.gateway_stall():
-            self.record_violation(kind, request, f"by {by:.3f} s")
+    def confirm_late(self, kind: str, request: bytes, overrun: float) -> None:
+        if overrun > self.max_lag + self.gateway_stall():
+            self.record_violation(kind, request, f"by {overrun:.3f} s")
 
     def request_sent(self, request: bytes, idempotency: str, sent_at: float, timeout: float) -> None:
         self.records[request] = RequestRecord(idempotency, sent_at, timeout)
 
     def attempt_received(self, request: bytes, server: str, zone: str, timeout_ms: int) -> ServerAttempt:
-        """Checks an attempt that a server has just received in full, with the time that it was given."""
+        """Checks an attempt that a server has just received in full, with its forwarded timeout."""
         now, record = time.monotonic(), self.records.get(request)
         attempt = ServerAttempt(zone, now)
         if record is None:
-            self.record_violation("UNKNOWN", request)
+            self.record_violation("UNKNOWN REQUEST", request)
             return attempt
         self.check_late(
-            "TOLD TOO LONG",
+            "FORWARDED TIMEOUT TOO LONG",
             request,
             now + timeout_ms / 1000 - record.sent_at - record.timeout - DEADLINE_SLACK,
         )
         if record.closed_at is not None:
             self.check_late(
-                "BEGUN AFTER THE CLOSE", request, now - record.closed_at - CLIENT_CLOSE_DELAY - TIMING_SLACK
+                "STARTED AFTER CLIENT CLOSE",
+                request,
+                now - record.closed_at - CLIENT_CLOSE_DELAY - TIMING_SLACK,
             )
         if server in self.drained_at:
             overrun = now - self.drained_at[server] - PROPAGATION_TIME - self.drain_grace
             self.check_late("SENT TO A DRAINED SERVER", request, overrun - TIMING_SLACK)
-        self.check_repeat(request, record, attempt)
+        self.check_retry(request, record, attempt)
         record.attempts.append(attempt)
         return attempt
 
-    def check_repeat(self, request: bytes, record: RequestRecord, attempt: ServerAttempt) -> None:
+    def check_retry(self, request: bytes, record: RequestRecord, attempt: ServerAttempt) -> None:
         """Checks that an attempt may follow the earlier ones of its request."""
-        executed = [before for before in record.attempts if before.may_have_run]
-        if executed and record.idempotency == "non_idempotent":
-            self.record_violation("RUN TWICE", request)
-        if executed and record.idempotency == "idempotency_key":
+        possibly_executed = [before for before in record.attempts if before.may_have_run]
+        if possibly_executed and record.idempotency == "non_idempotent":
+            self.record_violation("NON-IDEMPOTENT REQUEST RETRIED", request)
+        if possibly_executed and record.idempotency == "idempotency_key":
             self.check_late(
-                "REPEATED LATE",
+                "RETRIED AFTER DEDUP WINDOW",
                 request,
-                attempt.received_at - executed[0].received_at - self.dedup_window - TIMING_SLACK,
+                attempt.received_at - possibly_executed[0].received_at - self.dedup_window - TIMING_SLACK,
             )
-            if attempt.zone != executed[0].zone:
-                self.record_violation("REPEATED ELSEWHERE", request)
+            if attempt.zone != possibly_executed[0].zone:
+                self.record_violation("RETRIED OUTSIDE DEDUP SCOPE", request)
         if any(before.in_flight for before in record.attempts):
             earlier = list(record.attempts)
             asyncio.get_running_loop().call_later(
@@ -118,10 +122,10 @@
 
     def check_ended(self, request: bytes, earlier: list[ServerAttempt]) -> None:
         if any(attempt.in_flight for attempt in earlier):
-            self.record_violation("TWO AT ONCE", request)
+            self.record_violation("CONCURRENT ATTEMPTS", request)
 
     def request_refused(self, request: bytes) -> None:
-        """Checks a request that the gateway refused, which says that a retry is harmless."""
+        """Checks a request that the gateway refused; a refusal promises that a retry is harmless."""
         record = self.records[request]
         if record.idempotency != "read_like" and any(attempt.may_have_run for attempt in record.attempts):
             self.record_violation("REFUSED THOUGH IT MAY HAVE RUN", request)
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -42,14 +42,14 @@
         mean_service_time: float = 0.2,
         queue_limit: int = 80,
         background_load: float = 0.0,
-        **changes: float,
+        **overrides: float,
     ) -> None:
         rng, cores = random.Random(seed), 2
         weights = [
             1.0 if traffic_spread == "even" else rng.paretovariate(PARETO_SHAPE) for _ in range(gateway_count)
         ]
         super().__init__(
-            {**COLD_SETTINGS, **changes},
+            {**COLD_SETTINGS, **overrides},
             weights,
             seed,
             utilization * warm_count * cores / mean_service_time,
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -87,9 +87,9 @@
 )
 def test_invalid_entry_keeps_others_and_requests_snapshot(invalid):
     """Guards against dropping a whole list for one invalid entry, and against losing that entry's change."""
-    good = SERVER_ENTRY | {"host": "s2"}
+    valid = SERVER_ENTRY | {"host": "s2"}
     lists, calls = collect_lists(
-        [hosts_response(41, invalid, good), hosts_response(44, SERVER_ENTRY, good)], 2
+        [hosts_response(41, invalid, valid), hosts_response(44, SERVER_ENTRY, valid)], 2
     )
     assert [[server.name for server in host_list.servers] for host_list in lists] == [["s2"], ["s1", "s2"]]
     assert calls[:2] == ["/discovery/hosts"] * 2
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -90,7 +90,7 @@
     gateway = CheckedGateway(make_settings(classes=(keyed,), hedging_enabled=False))
     gateway.deliver(api.ServerList(api.ListKind.SNAPSHOT, 1, server_entries(LARGE_SERVERS)))
     for _ in range(3):
-        request = gateway.request(cls="pay", customer=gateway.last_request)
+        request = gateway.request(class_name="pay", customer=gateway.last_request_id)
         gateway.end_attempt(request, Result.RESET)
         assert len(gateway.attempts[request]) == 2
         gateway.end_attempt(request)
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -87,7 +87,7 @@
     for step in range(200):
         gateway.wrapped.fleet.limit = 2.0
         for class_name in sent_counts:
-            request = gateway.request(cls=class_name, customer=step)
+            request = gateway.request(class_name=class_name, customer=step)
             if gateway.in_flight(request):
                 sent_counts[class_name] += 1
                 gateway.end_attempt(request)
@@ -198,7 +198,7 @@
     streamed_class = dataclasses.replace(LOOKUP, name="film", streamed=True)
     gateway = CheckedGateway(make_settings(classes=(streamed_class,)))
     gateway.deliver(server_list("s1"))
-    request = gateway.request(cls="film", time_left=0.5)
+    request = gateway.request(class_name="film", time_left=0.5)
     gateway.deliver(api.StreamStarted(request, 0, "s1", 0.1))
     gateway.run(2.0)
     assert request not in gateway.final_actions
@@ -410,7 +410,7 @@
     gateway.deliver(server_list("s1", "s2", "s3"))
     lowest_limit = gateway.wrapped.fleet.limit
     for step in range(60):
-        request = gateway.request(cls="patient", customer=step, time_left=9.0)
+        request = gateway.request(class_name="patient", customer=step, time_left=9.0)
         gateway.run(1.2)
         gateway.end_attempt(request)
         lowest_limit = min(lowest_limit, gateway.wrapped.fleet.limit)
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -76,7 +76,7 @@
     gateway.deliver(server_list(*[f"s{i}" for i in range(12)]))
     for _ in range(9):
         gateway.request()
-    assert gateway.request(cls="cheap") in gateway.final_actions
+    assert gateway.request(class_name="cheap") in gateway.final_actions
     assert gateway.request() not in gateway.final_actions
 
 
--- a/tests/test_quota_across_gateways.py
+++ b/tests/test_quota_across_gateways.py
@@ -227,7 +227,7 @@
         gateway = CheckedGateway(make_settings(gateway_count=3, classes=(short_target_class,)))
         gateway.deliver(server_list("s1", "s2"))
         gateway.wrapped.answer_ratio = answer_ratio
-        _, request = send_unanswered_request(gateway, cls="quick", time_left=3.0)
+        _, request = send_unanswered_request(gateway, class_name="quick", time_left=3.0)
         gateway.run(0.2)
         assert bool(gateway.in_flight(request)) is (answer_ratio == 0.5)
 
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -128,7 +128,7 @@
     )
     gateway = CheckedGateway(make_settings(classes=(keyed_class,), hedging_enabled=False))
     gateway.deliver(api.ServerList(api.ListKind.SNAPSHOT, 1, tuple(api.Server(f"s{i}") for i in range(3))))
-    gateway.request(cls="pay")
+    gateway.request(class_name="pay")
     gateway.run(delay)
     gateway.end_attempt(1, Result.RESET)
     assert (len(gateway.attempts[1]) == 2) is retried
@@ -143,7 +143,7 @@
     gateway.deliver(
         api.ServerList(api.ListKind.SNAPSHOT, 1, tuple(api.Server(f"s{i}", zone="a") for i in range(3)))
     )
-    gateway.request(cls="pay")
+    gateway.request(class_name="pay")
     gateway.run(0.5)
     gateway.end_attempt(1, result)
     sends = [action for _, action in gateway.action_log if isinstance(action, api.Send)]
@@ -155,7 +155,7 @@
     """Guards the dedup scope against a server that changes its zone while the attempt is in flight."""
     gateway = CheckedGateway(make_settings(hedging_enabled=False))
     gateway.deliver(api.ServerList(api.ListKind.SNAPSHOT, 1, (api.Server("s1", zone="a"),)))
-    gateway.request(cls="pay")
+    gateway.request(class_name="pay")
     others = [api.Server(f"a{i}", zone="a") for i in range(3)] + [
         api.Server(f"b{i}", zone="b") for i in range(9)
     ]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -47,7 +47,7 @@
 def test_retries_respect_class_idempotency(class_name, result):
     gateway = CheckedGateway()
     gateway.deliver(server_list("s1", "s2", "s3", "s4"))
-    gateway.request(cls=class_name)
+    gateway.request(class_name=class_name)
     gateway.end_attempt(1, result)
     retried = len(gateway.attempts[1]) == 2
     assert retried == (result in NEVER_RAN_RESULTS or class_name != "once")
@@ -57,7 +57,7 @@
 def test_keyed_request_is_not_retried_after_dedup_window():
     gateway = CheckedGateway(make_settings(hedging_enabled=False))
     gateway.deliver(server_list("s1", "s2", "s3"))
-    gateway.request(cls="pay")
+    gateway.request(class_name="pay")
     gateway.run(1.95)
     gateway.end_attempt(1, Result.RESET)
     assert len(gateway.attempts[1]) == 1 and isinstance(gateway.final_actions[1], api.Fail)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""Short soak test: random days with fixed seeds, checked against the terms (tests/crossing_clients.py)."""
+"""Short soak test: random faults with fixed seeds, checked against the terms (tests/crossing_clients.py)."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import asyncio
 
 import pytest
-from crossing_clients import play_day
+from crossing_clients import run_soak
 from processkit import ROOT
 
 CLIENT_COUNT = 30
@@ -15,14 +15,14 @@
 
 
 @pytest.mark.parametrize("seed", [101, 115, 124, 126])
-def test_random_day_violates_no_terms(seed):
+def test_random_faults_violate_no_terms(seed):
     """The seeds cover failing system calls, address changes, slow discovery, stalls, drains and hangs."""
     options = argparse.Namespace(
         seed=seed, clients=CLIENT_COUNT, sockets=MAX_SOCKETS, seconds=DURATION, tree=ROOT
     )
 
     async def test() -> None:
-        code, counts, faults = await play_day(options)
+        code, counts, faults = await run_soak(options)
         assert code == 0 and not any(outcome.isupper() for outcome in counts), (faults, counts)
         assert counts["served"] > 0
 
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -145,7 +145,7 @@
 
     def __init__(self, wall_time: float = 10_000.0) -> None:
         self.now, self.wall_time = 50.0, wall_time
-        self.start_times = StartTimes(WARM_UP, lambda: self.now, lambda: self.wall_time)
+        self.start_times = StartTimes(SLOW_START_DURATION, lambda: self.now, lambda: self.wall_time)
 
     def resolve_age(self, start_time: float, kind: ListKind = ListKind.DELTA, name: str = "s") -> float:
         """Returns the age (s) of a server listed with this start time (Unix time, s)."""
@@ -153,7 +153,7 @@
         return self.now - server.started_at
 
 
-WARM_UP = 10.0  # seconds for which a new server is cold
+SLOW_START_DURATION = 10.0  # seconds for which a new server is cold
 
 
 def test_start_time_resolved_by_wall_clock_at_listing():
@@ -173,8 +173,8 @@
     clocks = SimulatedClocks()
     clocks.resolve_age(0.0, ListKind.SNAPSHOT, "other")
     assert clocks.resolve_age(start_time, ListKind.DELTA) == 0.0
-    clocks.now += WARM_UP
-    assert clocks.resolve_age(start_time) == WARM_UP
+    clocks.now += SLOW_START_DURATION
+    assert clocks.resolve_age(start_time) == SLOW_START_DURATION
 
 
 def test_start_between_two_lists_is_accepted():
