--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -109,27 +109,27 @@
 def retry_delays(schedule: CallSchedule, *outcomes: str, duration: float = 0.0) -> list[float]:
     """Returns the seconds from the end of each failed call until the next call is due.
 
-    A call fails as "away" (unreachable) or "unusable" (invalid response), `duration` seconds after its
-    start, or succeeds at once as "whole" (snapshot) or "watch".
+    A call fails as "unreachable" or as "unusable" (invalid response), `duration` seconds after its start, or
+    succeeds at once as "snapshot" or "watch".
     """
     delays, now = [], schedule.next_call_at
     for outcome in outcomes:
         schedule.start_call(now, is_watch=outcome == "watch")
-        if outcome in ("whole", "watch"):
+        if outcome in ("snapshot", "watch"):
             schedule.on_answer(now, 0.0, outcome == "watch")
         else:
-            schedule.on_failure(now + duration, now, unreachable=outcome == "away")
+            schedule.on_failure(now + duration, now, unreachable=outcome == "unreachable")
             delays.append(schedule.next_call_at - now - duration)
         now = schedule.next_call_at
     return delays
 
 
-@pytest.mark.parametrize("away", [True, False])
-def test_retry_delay_grows_only_while_discovery_is_reachable(away):
+@pytest.mark.parametrize("unreachable", [True, False])
+def test_retry_delay_grows_only_while_discovery_is_reachable(unreachable):
     """Guards against late calls after an outage, and against overloading a discovery that rejects calls."""
-    outcome = "away" if away else "unusable"
+    outcome = "unreachable" if unreachable else "unusable"
     delays = retry_delays(CallSchedule(0.0), *[outcome] * 6)
-    assert delays == pytest.approx([0.1] * 6 if away else [0.1, 0.2, 0.4, 0.8, 1.0, 1.0])
+    assert delays == pytest.approx([0.1] * 6 if unreachable else [0.1, 0.2, 0.4, 0.8, 1.0, 1.0])
 
 
 def test_snapshot_delivered_after_mixed_failures(monkeypatch):
@@ -143,10 +143,10 @@
 def test_retry_delay_grows_while_watches_are_rejected():
     """Guards against overloading a discovery that answers snapshots but rejects watches."""
     schedule = CallSchedule(0.0)
-    rejected_watches = ["whole", "unusable"] * 5
+    rejected_watches = ["snapshot", "unusable"] * 5
     assert retry_delays(schedule, *rejected_watches) == pytest.approx([0.1, 0.2, 0.4, 0.8, 1.0])
     # an answered watch resets the delay
-    assert retry_delays(schedule, "whole", "watch", "unusable") == pytest.approx([0.1])
+    assert retry_delays(schedule, "snapshot", "watch", "unusable") == pytest.approx([0.1])
 
 
 def test_retry_delay_counts_from_start_of_failed_call():
@@ -170,13 +170,13 @@
             return now + timing.ANSWER_TIMEOUT
         answer_times = []
         for duration in (0.0, timing.MIN_RETRY_DELAY, timing.ANSWER_TIMEOUT, None):
-            for away, others in product((True, False), repeat=2):
+            for unreachable, others in product((True, False), repeat=2):
                 branch = copy.copy(schedule)
                 branch.start_call(now, is_watch=False)
                 if duration is None:
                     branch.on_overdue()
                 else:
-                    branch.on_failure(now + duration, now, away, others)
+                    branch.on_failure(now + duration, now, unreachable, others)
                     branch.next_call_at = max(branch.next_call_at, now + duration)
                 answer_times.append(latest_answer(branch, failures - 1))
         return max(answer_times)
--- a/thymehinge/__main__.py
+++ b/thymehinge/__main__.py
@@ -1,4 +1,4 @@
-"""The gateway program: start, signals, drain and exit code."""
+"""The gateway program: startup, signals, drain and exit code."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 KILL_MARGIN = 0.3  # seconds before SIGKILL by which all requests are answered
 DRAIN_POLL_INTERVAL = 0.01  # seconds
 HANDLED_SIGNALS = signal.SIGTERM, signal.SIGINT, signal.SIGHUP
-STARTUP_TIMEOUT = 20.0  # seconds for which a start is retried; after 30 s without readiness it has failed
+STARTUP_TIMEOUT = 20.0  # seconds for which startup is retried; the gateway must be ready within 30 s
 STARTUP_RETRY_DELAY = 0.05  # seconds
 RELOAD_RETRY_DELAY = 0.1  # seconds
 STARTUP_DEADLINE_VARIABLE = "THYMEHINGE_GIVE_UP_AT"  # time of the monotonic clock in seconds
@@ -34,7 +34,7 @@
 
 
 def restart_process(startup_deadline: float) -> None:
-    """Replace this process by a new program with the same process id; returns if the system refuses."""
+    """Restart the program under the same process id; returns only if the system refuses."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # a handler would be reset to the default, which terminates
     with suppress(OSError):
         os.execve(
@@ -47,7 +47,7 @@
 
     def __init__(self) -> None:
         self.serving = False
-        self.reload_requested = False  # by a SIGHUP during the start
+        self.reload_requested = False  # by a SIGHUP during startup
 
     def run(self) -> int:
         """Start, retrying after transient errors, serve, and return the exit code.
@@ -72,7 +72,7 @@
             restart_process(startup_deadline)
 
     def run_once(self) -> None:
-        """Read the configuration and serve; raises ConfigError if the start fails."""
+        """Read the configuration and serve; raises ConfigError if startup fails."""
         config = load_config(os.environ)
         runner = asyncio.Runner(loop_factory=uvloop.new_event_loop)
         try:
@@ -104,7 +104,7 @@
         driver.listening_since = driver.clock()
         log.info("gateway %s listening on %s:%d", config.name or "(unnamed)", *config.listen)
         gc.collect()
-        gc.freeze()  # objects from the start live until the end; skipping them shortens collections
+        gc.freeze()  # objects created so far live until the exit; skipping them shortens collections
         await stop.wait()
         await drain(driver)
         discovery.stop()
@@ -114,14 +114,14 @@
 async def open_sockets(driver: Driver, config: Config) -> None:
     """Listen for peers, then for clients; raises ConfigError if that fails.
 
-    Listening for clients comes last, so that no client can connect to a start that fails.
+    Listening for clients comes last, so that no client can connect to a gateway whose startup fails.
     """
     loop = asyncio.get_running_loop()
     try:
         if config.peer_listen is not None:
-            datagrams = socket.socket(address_family(config.peer_listen), socket.SOCK_DGRAM)
-            datagrams.bind(config.peer_listen)
-            await loop.create_datagram_endpoint(lambda: driver.peers, sock=datagrams)
+            peer_socket = socket.socket(address_family(config.peer_listen), socket.SOCK_DGRAM)
+            peer_socket.bind(config.peer_listen)
+            await loop.create_datagram_endpoint(lambda: driver.peers, sock=peer_socket)
         listener = socket.create_server(
             config.listen, family=address_family(config.listen), backlog=LISTEN_BACKLOG
         )
@@ -137,7 +137,7 @@
 def reload_discovery(discovery: Discovery) -> None:
     """Switch to the discovery address in the configuration file; nothing else is reloaded.
 
-    EDGE_DISCOVERY is ignored, because it holds the address of the start. If a transient error prevents
+    EDGE_DISCOVERY is ignored, because it holds the address given at startup. If a transient error prevents
     reading the file, the reload is retried.
     """
     try:
@@ -170,7 +170,7 @@
 
 
 def main() -> int:
-    """Run the gateway; the exit code is 2 for a bad configuration."""
+    """Run the gateway; the exit code is 2 if startup fails, for example for an invalid configuration."""
     logging.basicConfig(level=logging.INFO, stream=sys.stderr, format="%(asctime)s %(levelname)s %(message)s")
     return Program().run()
 
--- a/thymehinge/net/call_schedule.py
+++ b/thymehinge/net/call_schedule.py
@@ -32,8 +32,8 @@
 
     def __init__(self, now: float) -> None:
         self.next_call_at = now
-        self.retry_delay = MIN_RETRY_DELAY  # from the start of a failed call to the next
-        self.answer_time = 0.0  # decaying maximum, beyond the watch timeout
+        self.retry_delay = MIN_RETRY_DELAY  # seconds from the start of a failed call to the next
+        self.answer_time = 0.0  # seconds beyond the watch timeout, as a decaying maximum
         self.answer_timeout = ANSWER_TIMEOUT
 
     def start_call(self, now: float, is_watch: bool) -> float:
@@ -55,7 +55,10 @@
         )
 
     def on_answer(self, now: float, answer_time: float, is_watch: bool) -> None:
-        """Record a good answer; `answer_time` is negative if a watch returned before its timeout."""
+        """Record a valid answer.
+
+        `answer_time` is in seconds beyond the watch timeout, negative if a watch returned before it.
+        """
         if answer_time >= 0:
             self.answer_time = max(answer_time, ANSWER_TIME_DECAY * self.answer_time)
         self.answer_timeout = min(
@@ -70,8 +73,9 @@
     ) -> None:
         """Record a failed call.
 
-        The delay to the next call doubles with each failure, unless discovery is `unreachable`, where calls
-        add no load. With `others_pending`, other calls have no answer yet and may be overdue earlier.
+        The delay from the start of this call to the next doubles with each failure, unless discovery is
+        `unreachable`, in which case calls add no load. With `others_pending`, other calls have no answer yet,
+        and the next call is due when they are overdue, if that is earlier.
         """
         if unreachable:
             self.retry_delay = MIN_RETRY_DELAY
--- a/thymehinge/net/config.py
+++ b/thymehinge/net/config.py
@@ -15,7 +15,6 @@
 Address = tuple[str, int]
 DEFAULT_MEMORY_MB = 192.0  # MiB
 
-
 TRANSIENT_ERRORS = frozenset(  # system errors that may go away by themselves
     (
         errno.EADDRINUSE,  # still held by a process that has just been killed
@@ -46,14 +45,14 @@
 
     name: str
     listen: Address
-    discovery: str
+    discovery: str  # host:port
     seed: int
-    max_sockets: int
+    max_sockets: int  # limit of file descriptors
     memory_bytes: int  # memory limit of the process
     peer_listen: Address | None
     peers: tuple[Address, ...]
     broadcast_address: Address | None
-    known_hosts: HostList | None
+    known_hosts: HostList | None  # used until discovery sends a list
     idle_timeout: float
     connect_timeout: float
     settings: api.Settings
--- a/thymehinge/net/discovery.py
+++ b/thymehinge/net/discovery.py
@@ -19,7 +19,7 @@
 
 log = logging.getLogger(__name__)
 
-UNREACHABLE_ERRORS = OSError  # no response, which costs discovery nothing; includes TimeoutError
+UNREACHABLE_ERRORS = OSError  # no response, or none in time (TimeoutError is an OSError)
 LIFECYCLE_STATES = {
     "Ready": api.LifecycleState.RUNNING,
     "Terminating": api.LifecycleState.DRAINING,
@@ -102,7 +102,7 @@
         self.task: asyncio.Task[None] | None = None
 
     def set_address(self, address: str) -> None:
-        """Switch to this address, starting with a snapshot; calls to another address are cancelled."""
+        """Switch to this address, starting with a snapshot; calls to the previous one are cancelled."""
         if address == self.address:
             return
         self.stop()
@@ -138,7 +138,7 @@
 
     def cancel(self) -> None:
         if not self.task.cancel() and not self.task.cancelled():
-            self.task.exception()  # retrieve it, or asyncio logs that nobody did
+            self.task.exception()  # retrieve it, or asyncio logs it as never retrieved
         self.client.close()
 
 
@@ -146,7 +146,7 @@
     """Watches one address on a kept connection, and fetches a snapshot after any failure.
 
     If a call is overdue, another is started on a connection of its own, since the first may be slow or lost.
-    The first good response counts, and the other calls are cancelled.
+    The first valid response counts, and the other calls are cancelled.
     """
 
     def __init__(self, address: str, on_list: Callable[[HostList], None], max_body_bytes: int) -> None:
@@ -154,7 +154,7 @@
         self.schedule = CallSchedule(monotonic())
         self.version: int | None = None  # of the latest list; None if a snapshot is needed
         self.calls: list[Call] = []  # without a response, oldest first
-        self.idle_client: HttpClient | None = None  # its connection carried the latest good response
+        self.idle_client: HttpClient | None = None  # its connection carried the latest valid response
 
     async def run(self) -> None:
         """Make calls until cancelled."""
@@ -190,7 +190,10 @@
         self.calls.append(Call(client, self.version, watch_timeout, now))
 
     def finish_call(self, call: Call) -> None:
-        """Pass on the list of a completed call, or schedule a snapshot if the call has failed."""
+        """Pass on the list of a completed call, or schedule a snapshot if the call has failed.
+
+        A list with invalid entries is passed on without them, and counts as a failure.
+        """
         self.calls.remove(call)
         now = monotonic()
         try:
@@ -222,7 +225,10 @@
 
 
 async def fetch_hosts(client: HttpClient, version: int | None, watch_timeout: float) -> Any:
-    """Make one call and decode the response: a watch from this version, or a snapshot if it is None."""
+    """Make one call and decode the response: a watch from this version, or a snapshot if it is None.
+
+    Raises the errors of `HttpClient.get`, and ValueError if the body is not JSON.
+    """
     target = "/discovery/hosts"
     if version is not None:
         target = f"{target}?since={version}&timeout_ms={round(watch_timeout * 1000)}"
--- a/thymehinge/net/driver.py
+++ b/thymehinge/net/driver.py
@@ -30,7 +30,7 @@
 SWEEP_INTERVAL = 0.25  # seconds between checks of connections for their timeouts
 RESERVED_DESCRIPTORS = 32  # for the listener, discovery, peers, files and connections that are closing
 SERVER_CONNECTION_FRACTION = 0.5  # of the other descriptors, for connections to servers
-FIRST_LIST_TIMEOUT = 3.0  # seconds for which clients are rejected without a list; fits two unanswered calls
+FIRST_LIST_TIMEOUT = 3.0  # seconds until PING reports readiness without a list; fits two unanswered calls
 
 log = logging.getLogger(__name__)
 
@@ -84,9 +84,10 @@
         self.call_at(clock() + SWEEP_INTERVAL, self.sweep)
 
     def is_ready(self) -> bool:
-        """Whether clients may send requests: there is a server list, or FIRST_LIST_TIMEOUT has passed.
+        """Whether PING reports readiness: there is a server list, or FIRST_LIST_TIMEOUT has passed.
 
-        Without a list, requests wait for one or are refused, as the decision module determines.
+        Requests are accepted before that too. Without a list, they wait for one or are refused, as the
+        decision module determines.
         """
         return self.clock() >= self.listening_since + (0.0 if self.has_list else FIRST_LIST_TIMEOUT)
 
@@ -131,7 +132,7 @@
     def on_outcome(
         self, attempt: Attempt, result: Result, load_report: dict[str, float], value: bytes | None
     ) -> None:
-        """Handle the end of an attempt; the first good answer is sent to the client at once."""
+        """Handle the end of an attempt; the first value is sent to the client at once."""
         exchange = attempt.exchange
         if value is not None:
             self.answer(exchange, b"$%d\r\n%b\r\n" % (len(value), value))
@@ -273,7 +274,7 @@
             self.exchanges.pop(exchange.request_id, None)
 
     def on_deadline(self, request_id: int) -> None:
-        """Time out the attempts of a request at its deadline, and answer it if that has not done so."""
+        """Time out the attempts of a request at its deadline, and answer it if it is still unanswered."""
         exchange = self.exchanges.get(request_id)
         if exchange is None:
             return
@@ -312,9 +313,8 @@
         """Replace the event loop's timer."""
         if self.timer_handle is not None:
             self.timer_handle.cancel()
-        delay = (
-            math.ceil(max(0.0, when - self.clock()) * 1000) / 1000
-        )  # the event loop rounds to milliseconds
+        # The event loop rounds to milliseconds.
+        delay = math.ceil(max(0.0, when - self.clock()) * 1000) / 1000
         self.armed_at, self.timer_handle = when, self.loop.call_later(delay, self.on_timer)
 
     def on_timer(self) -> None:
@@ -329,7 +329,7 @@
 
     def run_due_timers(self) -> None:
         """Run all timers that are due, then set the event loop's timer for the next one."""
-        self.armed_at, now = -math.inf, self.clock()
+        self.armed_at, now = -math.inf, self.clock()  # -inf keeps `call_at` from setting the timer
         try:
             while self.timers and self.timers[0][0] <= now:
                 heapq.heappop(self.timers)[2]()
--- a/thymehinge/net/http.py
+++ b/thymehinge/net/http.py
@@ -1,6 +1,6 @@
 """HTTP/1.1 GET requests to one address, one at a time on a kept connection, with h11 as the parser.
 
-A full HTTP client library (TLS, proxies, cookies) would dominate the start-up time of a gateway.
+A full HTTP client library (TLS, proxies, cookies) would dominate the startup time of a gateway.
 """
 
 from __future__ import annotations
@@ -34,8 +34,8 @@
         `timeout`, in seconds, covers everything from the connect to the last byte. A request that fails on a
         reused connection before any response is sent once more on a new connection.
 
-        Raises HttpError for any other or incomplete response, and OSError (which includes TimeoutError) if
-        there is none.
+        Raises TimeoutError if the response is not complete in time, HttpError if it is unusable for another
+        reason, and another OSError if there is none.
         """
         is_reused = self.writer is not None
         try:
@@ -72,7 +72,7 @@
         return body
 
     async def read_body(self) -> bytearray:
-        """Read a whole response; a connection reset does not count as the end of its body."""
+        """Read a response and return its body; a connection reset does not count as the end of the body."""
         body, has_data, interim_count = bytearray(), False, 0
         while True:
             match self.connection.next_event():
--- a/thymehinge/net/server_connection.py
+++ b/thymehinge/net/server_connection.py
@@ -16,7 +16,7 @@
 
 STALE_RESET_WINDOW = 0.02  # seconds after a write; a reset within it shows that the server had closed earlier
 TIMEOUT_MARGIN = 0.01  # seconds subtracted from the timeout sent to a server, for network and other delays
-WRITE_TIMEOUT = 0.1  # seconds for writing a command; a large command's timeout is shortened by as much
+WRITE_TIMEOUT = 0.1  # seconds for writing a command; subtracted from the timeout sent with a large command
 MAX_IMMEDIATE_WRITE_BYTES = 16 * 1024  # a longer command may not fit into the socket's buffer at once
 PARTIAL_ANSWER_TIMEOUT = 0.5  # seconds without further data in the middle of an answer
 REPORT_FIELD = rb"[a-z_0-9]{1,16}=[0-9]{1,6}(?:\.[0-9]{1,9})?"
@@ -75,7 +75,8 @@
     """A connection to a table server; carries at most one attempt at a time.
 
     `write_pending` is set while part of a command has not been passed to the kernel. `reusable` is set once
-    nothing unexpected has followed the latest answer for REUSE_DELAY.
+    nothing unexpected has followed the latest answer for REUSE_DELAY. `idle_since` is 0 until the connection
+    is idle for the first time.
     """
 
     __slots__ = (
@@ -125,7 +126,7 @@
             self.pool.servers.call_at(now + WRITE_TIMEOUT, lambda: self.check_written(attempt))
 
     def check_written(self, attempt: Attempt) -> None:
-        """Abort an attempt whose command is not completely written yet, hence has not run."""
+        """Abort an attempt whose command is not completely written yet and so has not run."""
         if self.attempt is attempt and self.write_pending:
             self.abort_attempt(Result.CONNECT_FAILED)
 
@@ -203,8 +204,8 @@
 ) -> tuple[Result, dict[str, float]]:
     """Return the result and the load report of a parsed answer.
 
-    `is_all_data` tells that nothing followed the answer. Only a well-formed `-BUSY` with nothing behind it
-    proves that the command has not run.
+    `text` is the load report that came with a value, else the error line. `is_all_data` tells whether nothing
+    followed the answer. Only a well-formed `-BUSY` with nothing after it proves that the command has not run.
     """
     if value is not None:
         return Result.OK, parse_load_report(text)
--- a/thymehinge/net/servers.py
+++ b/thymehinge/net/servers.py
@@ -16,9 +16,10 @@
 
 IDLE_LIMIT_FRACTION = 0.7  # of the servers' idle timeout; connections idle for longer are not reused
 MAX_CONNECTIONS_PER_SERVER = 128
-REUSE_DELAY = 0.02  # seconds after an answer in which unexpected data may follow; no reuse before
+REUSE_DELAY = 0.02  # seconds from an answer to the reuse of its connection, since unexpected data may follow
 IDLE_LIMIT_GROWTH = 1.2  # factor by which a lowered idle limit recovers with each sweep
 
+# Called with an attempt, its result, the load report, and the value if the result is OK.
 OutcomeCallback = Callable[[Attempt, Result, dict[str, float], bytes | None], None]
 
 
@@ -28,7 +29,7 @@
     def __init__(self, servers: Servers, address: Address, started_at: float) -> None:
         self.servers, self.address, self.started_at, self.running = servers, address, started_at, True
         self.open_connections = self.connecting = 0
-        self.idle: list[ServerConnection] = []  # by the time since which they are idle, oldest first
+        self.idle: list[ServerConnection] = []  # in the order in which they became idle, oldest first
         self.waiting: deque[Attempt] = deque()
 
     def start_attempt(self, attempt: Attempt) -> None:
@@ -212,7 +213,7 @@
     def abort_attempt(self, attempt: Attempt, result: Result) -> None:
         """End an attempt in flight and close its connection.
 
-        A timeout becomes CONNECT_FAILED if the command has not been written completely, hence has not run. An
+        A timeout becomes CONNECT_FAILED if the command has not been written completely and so has not run. An
         attempt that waits for a connection ends as NOT_SENT if it is cancelled, else as CONNECT_FAILED.
         """
         if not attempt.in_flight:
--- a/thymehinge/net/start_times.py
+++ b/thymehinge/net/start_times.py
@@ -59,6 +59,10 @@
         return resolved
 
     def resolve_server(self, server: Server, now: float, max_age: float | None) -> Server:
+        """Return the server with its local start time.
+
+        A new start time is rejected if the age would exceed `max_age` (seconds), see `estimate_age`.
+        """
         name, start = server.name, self.listed.get(server.name) or self.delisted.pop(server.name, None)
         if server.started_at <= 0:  # most servers of a large fleet; nothing needs to be stored
             self.listed.pop(name, None)
