--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -11,7 +11,7 @@
 
 
 def read_known_red() -> list[str]:
-    """Returns the lines of KNOWN-RED.txt, each `test or test file | cause | issue`.
+    """Return the lines of KNOWN-RED.txt, each `test or test file | cause | issue`.
 
     Raises pytest.UsageError if there are too many lines or one has another form.
     """
--- a/tests/crossing_clients.py
+++ b/tests/crossing_clients.py
@@ -81,7 +81,7 @@
     was_reset: bool = False  # by the gateway, which had unread data
 
     async def read_answers(self) -> None:
-        """Reads answers until the connection ends."""
+        """Read answers until the connection ends."""
         parser = hiredis.Reader()
         try:
             while data := await self.reader.read(65536):
@@ -95,7 +95,7 @@
         self.ended_at = time.monotonic()
 
     async def wait_answered(self) -> bool:
-        """Waits for all answers, the end or the last deadline; returns whether all answers arrived."""
+        """Wait for all answers, the end or the last deadline; return whether all answers arrived."""
         end = max((r.sent_at + r.timeout for r in self.requests), default=0.0) + ANSWER_SLACK + 2.0
         while self.ended_at is None and len(self.answers) < len(self.requests) and time.monotonic() < end:
             await asyncio.sleep(0.005)
@@ -139,7 +139,7 @@
             connection.writer.close()
 
     async def write_requests(self, connection: Connection) -> None:
-        """Writes the requests and other data of a connection of its kind."""
+        """Write the requests and other data of a connection of its kind."""
         if connection.kind == "idle":
             await asyncio.sleep(self.rng.choice((1.0, 9.9, 10.0, 10.1)))
         if connection.kind == "leaves":
@@ -163,7 +163,7 @@
                     await self.send_request(connection)
 
     async def send_request(self, connection: Connection) -> None:
-        """Writes one request, sometimes in several pieces."""
+        """Write one request, sometimes in several pieces."""
         request, idempotency, data, timeout = self.next_command(connection.kind)
         size = len(data) // self.rng.choice((1, 1, 3)) + 1
         for start in range(0, len(data), size):
@@ -178,7 +178,7 @@
             connection.requests.append(SentRequest(request, now, timeout))
 
     def next_command(self, kind: str) -> tuple[bytes, str, bytes, float]:
-        """Returns a new request's id, idempotency, encoded command and timeout in seconds."""
+        """Return a new request's id, idempotency, encoded command and timeout in seconds."""
         self.request_count += 1
         request, timeout_ms = (
             b"%08x%08x" % (self.number, self.request_count),
@@ -198,7 +198,7 @@
         return request, IDEMPOTENCY[class_name], hiredis.pack_command(words), timeout_ms / 1000
 
     def count_outcomes(self, connection: Connection) -> None:
-        """Counts the outcome of each request of a connection and prints the violations."""
+        """Count the outcome of each request of a connection and print the violations."""
         if connection.kind == "leaves":
             for request in connection.requests[len(connection.answers) :]:
                 self.checker.records[request.request_id].closed_at = time.monotonic()
@@ -213,7 +213,7 @@
                 print(outcome, connection.kind, request, f"answer {i} of {len(connection.answers)}")
 
     def classify(self, connection: Connection, index: int, request: SentRequest) -> str:
-        """Returns the outcome of a connection's request at an index; upper case is a violation."""
+        """Return the outcome of a connection's request at an index; upper case is a violation."""
         if index >= len(connection.answers):
             unread_window = CLOSE_RACE_WINDOW + connection.was_reset * STALL_ALLOWANCE
             raced_close = (
@@ -235,7 +235,7 @@
 
 
 def gateway_config(address: str, hosts: list[dict], port: int, sockets: int) -> dict:
-    """Returns a gateway configuration with a class per kind of idempotency and quotas that never limit."""
+    """Return a gateway configuration with a class per kind of idempotency and quotas that never limit."""
     settings = raw_settings()
     settings["classes"].append({**settings["classes"][0], "name": "once", "repeat": "non_idempotent"})
     settings["classes"][1]["dedup_window_s"] = DEDUP_WINDOW
@@ -251,9 +251,9 @@
 
 
 async def run_soak(options: argparse.Namespace) -> tuple[int, Counter[str], list[str]]:
-    """Runs the program once under load and faults, and stops it while clients still send requests.
+    """Run the program once under load and faults, and stop it while clients still send requests.
 
-    Returns the gateway's exit code, counts of outcomes and violations, and the names of the faults.
+    Return the gateway's exit code, counts of outcomes and violations, and the names of the faults.
     """
     checker = TermsChecker(DEDUP_WINDOW, DRAIN_GRACE)
     servers = [FaultyTableServer(f"s{i}", "ab"[i % 2], options.seed, checker) for i in range(SERVER_COUNT)]
@@ -294,7 +294,7 @@
 
 
 async def stop_gateway(gateway: subprocess.Popen) -> int:
-    """Sends SIGTERM, more signals, then SIGKILL after KILL_DELAY; returns the exit code (< 0: killed)."""
+    """Send SIGTERM, more signals, then SIGKILL after KILL_DELAY; return the exit code (< 0: killed)."""
     started_at = time.monotonic()
     for signal_number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
         gateway.send_signal(signal_number)
@@ -306,7 +306,7 @@
 
 
 async def main(options: argparse.Namespace) -> int:
-    """Runs one seed after another and prints the results; returns 1 if any run failed."""
+    """Run one seed after another and print the results; return 1 if any run failed."""
     failed_runs = 0
     for seed in range(options.seed, options.seed + options.days):
         options.seed = seed
--- a/tests/discoverykit.py
+++ b/tests/discoverykit.py
@@ -23,15 +23,15 @@
 
 
 def hosts_response(version: int, *entries: dict, snapshot: bool = True) -> web.Response:
-    """Returns the HTTP response for a list: a snapshot, or a delta with the changed entries alone."""
+    """Return the HTTP response for a list: a snapshot, or a delta with the changed entries alone."""
     return web.json_response({"seq": version, "whole": snapshot, "hosts": list(entries)})
 
 
 async def scripted_discovery(answers: list, listener: socket.socket | None = None) -> tuple[str, list[str]]:
-    """Starts a discovery server that gives one answer per call, and none after the last.
+    """Start a discovery server that gives one answer per call, and none after the last.
 
     An answer is a response, a coroutine function that returns one, NO_ANSWER, or None to abort the
-    connection. Listens on the given socket or a new one. Returns the address and the paths of the calls,
+    connection. Listen on the given socket or a new one. Return the address and the paths of the calls,
     which grow as calls arrive.
     """
     calls: list[str] = []
@@ -69,7 +69,7 @@
         self.calls, self.bytes_sent = 0, 0  # calls received; bytes of bodies, also to closed connections
 
     async def listen(self) -> str:
-        """Starts the server and returns its address."""
+        """Start the server and return its address."""
         app = web.Application()
         app.router.add_get("/discovery/hosts", self.handle_hosts)
         self.runner = web.AppRunner(app, shutdown_timeout=0.1)
@@ -79,7 +79,7 @@
         return "{}:{}".format(*site._server.sockets[0].getsockname())
 
     def update_entry(self, host: str, **fields: object) -> None:
-        """Changes fields of one entry in a new version and wakes the long polls."""
+        """Change fields of one entry in a new version and wake the long polls."""
         self.version += 1
         self.entries[host] = self.entries[host] | fields
         self.entry_versions[host] = self.version
@@ -87,7 +87,7 @@
         self.changed = asyncio.Event()
 
     async def handle_hosts(self, request: web.Request) -> web.Response:
-        """Answers with a snapshot, or a long poll with the changes since a version, if any by its timeout."""
+        """Answer with a snapshot, or a long poll with the changes since a version, if any by its timeout."""
         self.calls += 1
         received_at, since = time.monotonic(), request.query.get("since")
         if since is not None and int(since) >= self.version:
--- a/tests/faultkit.py
+++ b/tests/faultkit.py
@@ -36,7 +36,7 @@
 
 @functools.cache
 def build_library() -> Path:
-    """Compiles faults.c and returns the shared library; skips the test if there is no C compiler."""
+    """Compile faults.c and return the shared library; skip the test if there is no C compiler."""
     compiler = shutil.which("cc")
     if compiler is None:
         pytest.skip("fault injection needs a C compiler (cc), and none was found")
@@ -57,7 +57,7 @@
         self.set(**{"seed": 1} | fields)
 
     def excess_stall(self) -> float:
-        """Returns the seconds by which the longest stall exceeded stall_ms, as happens on a busy machine."""
+        """Return the seconds by which the longest stall exceeded stall_ms, as happens on a busy machine."""
         longest, configured = self.get("longest_stall_ms"), self.get("stall_ms")
         return max(0, longest - configured) / 1000
 
@@ -65,6 +65,6 @@
         return struct.unpack_from("q", self.control, 8 * CONTROL_FIELDS.index(name))[0]
 
     def set(self, **fields: int) -> None:
-        """Sets the named control fields; the others keep their values."""
+        """Set the named control fields; the others keep their values."""
         for name, value in fields.items():
             struct.pack_into("q", self.control, 8 * CONTROL_FIELDS.index(name), value)
--- a/tests/fleet_needs.py
+++ b/tests/fleet_needs.py
@@ -52,7 +52,7 @@
     served: int = 0  # requests
 
     def bounds(self, servers: int) -> ResourceUsage:
-        """Returns the operators' bounds for this many servers, where this is the baseline's usage.
+        """Return the operators' bounds for this many servers, where this is the baseline's usage.
 
         `served` has a lower bound, the others upper ones.
         """
@@ -74,7 +74,7 @@
         self.count, self.connections_made, self.rng = count, 0, random.Random(1)
 
     async def listen(self) -> list[dict]:
-        """Starts the servers and returns their discovery entries."""
+        """Start the servers and return their discovery entries."""
         entries = []
         for i in range(self.count):
             listener = await asyncio.start_server(self.serve, HOST, 0)
@@ -95,7 +95,7 @@
 
 
 async def measure(server_count: int) -> ResourceUsage:
-    """Runs a gateway with this many table servers under load and returns what it used."""
+    """Run a gateway with this many table servers under load and return what it used."""
     servers, usage = TableServers(server_count), ResourceUsage()
     entries = await servers.listen()
     discovery = FakeDiscovery(entries)
@@ -122,7 +122,7 @@
 
 
 async def send_request(port: int, number: int, usage: ResourceUsage) -> None:
-    """Sends one request of a separate customer on a new connection, and counts it if it is served."""
+    """Send one request of a separate customer on a new connection, and count it if it is served."""
     client = RespConnection(*await asyncio.open_connection(HOST, port))
     client.write(
         pack_request().replace(REQUEST_ID, b"%016x" % number).replace(CUSTOMER_ID, b"%016x" % number)
--- a/tests/fleetkit.py
+++ b/tests/fleetkit.py
@@ -100,7 +100,7 @@
         cold: bool = True,
         background_load: float = 0.0,
     ) -> None:
-        """Starts a table server now; background load is a fraction of its capacity."""
+        """Start a table server now; background load is a fraction of its capacity."""
         entry = api.Server(name, started_at=self.now if cold else 0.0)
         self.servers[name] = TableServer(entry, cores, queue_limit)
         if background_load > 0:
@@ -112,7 +112,7 @@
             )
 
     def publish_list(self, names: Sequence[str], spread: float = 0.0) -> None:
-        """Sends a snapshot to all gateways, to each within `spread` seconds."""
+        """Send a snapshot to all gateways, to each within `spread` seconds."""
         self.server_list = tuple(self.servers[name].entry for name in names)
         for gateway in range(len(self.gateways)):
             self.call_later(self.rng.uniform(0, spread), self.deliver_list, gateway, self.server_list)
@@ -121,12 +121,12 @@
         self.deliver(gateway, self.incarnations[gateway], api.ServerList(api.ListKind.SNAPSHOT, 1, servers))
 
     def restart_gateways(self, share: float, spread: float = 0.0) -> None:
-        """Restarts a random share of the gateways, each within `spread` seconds."""
+        """Restart a random share of the gateways, each within `spread` seconds."""
         for gateway in self.rng.sample(range(len(self.gateways)), round(share * len(self.gateways))):
             self.call_later(self.rng.uniform(0, spread), self.restart_gateway, gateway)
 
     def restart_gateway(self, gateway: int) -> None:
-        """Replaces a gateway by a new one with the current list; its requests are lost."""
+        """Replace a gateway by a new one with the current list; its requests are lost."""
         self.incarnations[gateway] += 1
         self.gateways[gateway] = Gateway(self.settings[gateway], self.rng.getrandbits(32), self.now)
         self.attempts[gateway], self.pending_work[gateway] = {}, {}
@@ -135,7 +135,7 @@
     # Traffic and table servers.
 
     def generate_request(self) -> None:
-        """Gives one request to a random gateway and schedules the next."""
+        """Give one request to a random gateway and schedule the next."""
         self.call_later(self.rng.expovariate(self.request_rate), self.generate_request)
         gateway = self.rng.choices(range(len(self.cumulative_weights)), cum_weights=self.cumulative_weights)[
             0
@@ -153,14 +153,14 @@
         )
 
     def generate_background(self, server: TableServer, rate: float) -> None:
-        """Sends one attempt of background load to a server and schedules the next; `rate` is per second."""
+        """Send one attempt of background load to a server and schedule the next; `rate` is per second."""
         self.call_later(self.rng.expovariate(rate), self.generate_background, server, rate)
         self.receive(server, Attempt(-1, self.rng.gammavariate(WORK_SHAPE, 1 / WORK_SHAPE)))
 
     def deliver(self, gateway: int, incarnation: int, event: api.Event) -> None:
-        """Passes an event to a gateway and performs its actions.
+        """Pass an event to a gateway and perform its actions.
 
-        Ignores events for an earlier incarnation of the gateway.
+        Ignore events for an earlier incarnation of the gateway.
         """
         if incarnation != self.incarnations[gateway]:
             return
@@ -190,7 +190,7 @@
                     )
 
     def capacity_fraction(self, server: TableServer, now: float) -> float:
-        """Returns the fraction of its full speed that a server has reached, 1 once it is warm."""
+        """Return the fraction of its full speed that a server has reached, 1 once it is warm."""
         settings, age = self.settings[0], now - server.entry.started_at
         if server.entry.started_at <= 0 or age >= settings.slow_start_duration:
             return 1.0
@@ -200,7 +200,7 @@
         )
 
     def receive(self, server: TableServer, attempt: Attempt) -> None:
-        """Starts, queues or rejects an attempt that has reached a server."""
+        """Start, queue or reject an attempt that has reached a server."""
         if server.busy_cores >= server.cores and len(server.queue) >= server.queue_limit:
             return self.call_later(NETWORK_DELAY, self.finish_attempt, attempt, Result.REJECTED)
         if attempt.gateway >= 0:
@@ -220,7 +220,7 @@
         )
 
     def finish_work(self, server: TableServer, attempt: Attempt) -> None:
-        """Frees a core, starts queued attempts that are not cancelled or timed out, and answers."""
+        """Free a core, start queued attempts that are not cancelled or timed out, and answer."""
         server.busy_cores -= 1
         while server.queue and server.busy_cores < server.cores:
             following = server.queue.popleft()
@@ -229,7 +229,7 @@
         self.call_later(NETWORK_DELAY, self.finish_attempt, attempt, Result.OK)
 
     def finish_attempt(self, attempt: Attempt, result: Result) -> None:
-        """Reports the outcome of an attempt to its gateway, once."""
+        """Report the outcome of an attempt to its gateway, once."""
         if attempt.finished or attempt.gateway < 0:
             return
         attempt.finished, final = True, result in (Result.OK, Result.CANCELLED)
@@ -241,7 +241,7 @@
     # Results of a scenario.
 
     def worst_excess(self) -> tuple[float, bool]:
-        """Returns how far the work sent to a cold server exceeded the limit N in the worst window.
+        """Return how far the work sent to a cold server exceeded the limit N in the worst window.
 
         The excess is in units of sqrt(N); the flag tells whether all windows stayed within
         N + 2 sqrt(N) + 2. Windows end at a send, where the sum is largest.
@@ -268,7 +268,7 @@
         return worst, within_limit
 
     def cold_utilization(self) -> float:
-        """Returns the work that cold servers accepted in EARLY_PERIOD, relative to an even share of it."""
+        """Return the work that cold servers accepted in EARLY_PERIOD, relative to an even share of it."""
         accepted = even_share = 0.0
         for server in (s for s in self.servers.values() if s.entry.started_at > 0):
             end = server.entry.started_at + EARLY_PERIOD
--- a/tests/netkit.py
+++ b/tests/netkit.py
@@ -25,7 +25,7 @@
 
 
 def raw_settings() -> dict[str, Any]:
-    """Returns settings, as in a configuration file, with a read-like class and one with idempotency keys."""
+    """Return settings, as in a configuration file, with a read-like class and one with idempotency keys."""
     raw = json.loads(json.dumps(RAW_SETTINGS))
     raw["classes"].append(
         {**raw["classes"][0], "name": "order", "repeat": "idempotency_key", "dedup_scope": "zone"}
@@ -35,7 +35,7 @@
 
 
 def raw_config(**overrides: Any) -> dict[str, Any]:
-    """Returns a complete gateway configuration, as in its file, with some top-level keys overridden."""
+    """Return a complete gateway configuration, as in its file, with some top-level keys overridden."""
     return {
         "name": "n0",
         "listen": f"{HOST}:6379",
@@ -49,7 +49,7 @@
 
 
 def host_list(version: int = 1, snapshot: bool = True, **servers: Any) -> HostList:
-    """Returns a list of servers by name: an address, (address, health), or None for a server that is gone."""
+    """Return a list of servers by name: an address, (address, health), or None for a server that is gone."""
     entries = []
     for name, value in servers.items():
         dial, health = value if isinstance(value, tuple) else (value, "Ready" if value else "Gone")
@@ -62,12 +62,12 @@
 def pack_request(
     name: bytes = b"API.READ", fields: bytes = b"c=lookup,t=village,d=3000", *body: bytes
 ) -> bytes:
-    """Encodes a request of CUSTOMER_ID with REQUEST_ID as a RESP command."""
+    """Encode a request of CUSTOMER_ID with REQUEST_ID as a RESP command."""
     return hiredis.pack_command((name, CUSTOMER_ID, REQUEST_ID, fields, *body))
 
 
 def success_reply(value: bytes, report: bytes = b"queue=1") -> bytes:
-    """Encodes a table server's successful reply with its load report."""
+    """Encode a table server's successful reply with its load report."""
     return b"*3\r\n$%d\r\n%b\r\n$-1\r\n$%d\r\n%b\r\n" % (len(value), value, len(report), report)
 
 
@@ -81,7 +81,7 @@
         self.writer.write(data)
 
     async def read(self) -> Any:
-        """Returns the next message. Raises EOFError at the end of the stream, TimeoutError on a timeout."""
+        """Return the next message. Raises EOFError at the end of the stream, TimeoutError on a timeout."""
         async with asyncio.timeout(WAIT_TIMEOUT):
             while (message := self.parser.gets()) is self:  # incomplete
                 data = await self.stream_reader.read(65536)
@@ -91,11 +91,11 @@
             return message
 
     def limit_receiving(self, size: int) -> None:
-        """Limits the kernel's receive buffer to about this many bytes."""
+        """Limit the kernel's receive buffer to about this many bytes."""
         self.writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, size)
 
     async def wait_closed(self) -> bool:
-        """Waits for the other end to close; False if it sends more data instead."""
+        """Wait for the other end to close; return False if it sends more data instead."""
         async with asyncio.timeout(WAIT_TIMEOUT):
             try:
                 return await self.stream_reader.read(1) == b""
@@ -123,21 +123,21 @@
         self.driver.gateway.handle = record
 
     async def connect_client(self) -> RespConnection:
-        """Connects a client; the first call opens the listener."""
+        """Connect a client; the first call opens the listener."""
         if not hasattr(self, "listener"):
             self.listener = socket.create_server((HOST, 0), backlog=1024)
             self.driver.clients.listen(self.listener)
         return RespConnection(*await asyncio.open_connection(*self.listener.getsockname()))
 
     async def connect_raw_client(self, data: bytes) -> socket.socket:
-        """Connects a blocking socket and sends data; its sends and close reach the kernel at once."""
+        """Connect a blocking socket and send data; its sends and close reach the kernel at once."""
         (await self.connect_client()).writer.close()
         sock = socket.create_connection(self.listener.getsockname())
         sock.sendall(data)
         return sock
 
     def hold_connects(self) -> asyncio.Event:
-        """Delays new connections to servers until the returned event is set."""
+        """Delay new connections to servers until the returned event is set."""
         loop, gate = self.driver.loop, asyncio.Event()
 
         async def connect_after_gate(*args: Any) -> Any:
@@ -151,7 +151,7 @@
         return gate
 
     async def start_server(self) -> tuple[str, asyncio.Queue[RespConnection]]:
-        """Starts a server that never answers by itself; returns its address and accepted connections."""
+        """Start a server that never answers by itself; return its address and accepted connections."""
         connections: asyncio.Queue[RespConnection] = asyncio.Queue()
         listener = await asyncio.start_server(
             lambda reader, writer: connections.put_nowait(RespConnection(reader, writer)), HOST, 0
@@ -159,20 +159,20 @@
         return "{}:{}".format(*listener.sockets[0].getsockname()), connections
 
     async def wait_reusable(self, name: str) -> None:
-        """Waits until an idle connection to this server may be used for another request."""
+        """Wait until an idle connection to this server may be used for another request."""
         async with asyncio.timeout(WAIT_TIMEOUT):
             while not any(c.reusable for c in self.driver.servers.pools[name].idle):
                 await asyncio.sleep(0.001)
 
     def sweep_after(self, seconds: float) -> None:
-        """Runs the periodic check of the client connections as if this much time had passed."""
+        """Run the periodic check of the client connections as if this much time had passed."""
         clock = self.driver.clients.clock
         self.driver.clients.clock = lambda: clock() + seconds
         self.driver.clients.sweep()
         self.driver.clients.clock = clock
 
     async def wait_for_event(self, kind: type, **fields: Any) -> Any:
-        """Returns the decision module's next event of a type with these fields; discards those before it."""
+        """Return the decision module's next event of a type with these fields; discard those before it."""
         async with asyncio.timeout(WAIT_TIMEOUT):
             while True:
                 event = await self.events.get()
@@ -181,7 +181,7 @@
 
 
 async def harness_with_server(**overrides: Any) -> tuple[GatewayHarness, asyncio.Queue[RespConnection]]:
-    """Returns a gateway that knows one server, s1, and the connections which that server accepts."""
+    """Return a gateway that knows one server, s1, and the connections which that server accepts."""
     harness = GatewayHarness(**overrides)
     address, connections = await harness.start_server()
     harness.driver.on_list(host_list(s1=address))
@@ -191,7 +191,7 @@
 async def request_in_flight(
     harness: GatewayHarness, connections: asyncio.Queue[RespConnection], *following: bytes
 ) -> tuple[RespConnection, RespConnection]:
-    """Sends a request, followed by other data; returns the client's and the server's connection."""
+    """Send a request, followed by other data; return the client's and the server's connection."""
     client = await harness.connect_client()
     client.write(pack_request() + b"".join(following))
     server = await next_item(connections)
@@ -219,12 +219,12 @@
 
 
 async def next_item(queue: asyncio.Queue[Any]) -> Any:
-    """Returns the next item of a queue. Raises TimeoutError after WAIT_TIMEOUT."""
+    """Return the next item of a queue. Raises TimeoutError after WAIT_TIMEOUT."""
     async with asyncio.timeout(WAIT_TIMEOUT):
         return await queue.get()
 
 
 def run_on_uvloop(test: Coroutine[Any, Any, None]) -> None:
-    """Runs an asynchronous test on uvloop, the event loop of the program."""
+    """Run an asynchronous test on uvloop, the event loop of the program."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(test)
--- a/tests/processkit.py
+++ b/tests/processkit.py
@@ -28,7 +28,7 @@
     log: Any = subprocess.PIPE,
     **environ: str,
 ) -> subprocess.Popen:
-    """Writes the configuration to `path` and starts the program of the checkout at `root` with it.
+    """Write the configuration to `path` and start the program of the checkout at `root` with it.
 
     A string is written as it is, anything else as JSON. With `as_deployed`, a shell runs the deploy file's
     `run` command. `log` receives standard error, `environ` is added to the environment.
@@ -49,7 +49,7 @@
 
 
 def free_port() -> int:
-    """Returns a TCP port of the loopback address that is free at the moment."""
+    """Return a TCP port of the loopback address that is free at the moment."""
     with socket.socket() as probe:
         probe.bind((HOST, 0))
         return probe.getsockname()[1]
@@ -59,7 +59,7 @@
 async def running_gateway(
     path: Path, config: dict[str, Any], start_timeout: float = 10.0, root: Path = ROOT, **environ: str
 ) -> AsyncIterator[subprocess.Popen]:
-    """Runs the program as a process that is ready to serve, and kills it at the end.
+    """Run the program as a process that is ready to serve, and kill it at the end.
 
     Raises TimeoutError if it is not ready within `start_timeout` seconds. Its log goes to a file, since a
     full pipe that nobody reads would block the process.
@@ -82,7 +82,7 @@
 
 
 async def is_ready(host: str, port: int) -> bool:
-    """Whether the gateway answers PING with +PONG on a new connection."""
+    """Return whether the gateway answers PING with +PONG on a new connection."""
     try:
         reader, writer = await asyncio.open_connection(host, port)
     except ConnectionError:
--- a/tests/quotakit.py
+++ b/tests/quotakit.py
@@ -8,7 +8,7 @@
 
 
 def send_paced(gateway: CheckedGateway, seconds: float, interval: float, **request: object) -> list[int]:
-    """Sends requests at a fixed interval (seconds), answers all their attempts; returns the request ids."""
+    """Send requests at a fixed interval (seconds), answer all their attempts; return the request ids."""
     request_ids, end = [], gateway.now + seconds
     while gateway.now < end:
         request_ids.append(gateway.request(**request))
@@ -19,7 +19,7 @@
 
 
 def count_sent(gateway: CheckedGateway, request_ids: list[int]) -> int:
-    """Counts the requests of which at least one attempt was sent."""
+    """Count the requests of which at least one attempt was sent."""
     return sum(bool(gateway.attempts.get(request_id)) for request_id in request_ids)
 
 
@@ -37,7 +37,7 @@
             gateway.deliver(server_list("s1", "s2", "s3"))
 
     def run(self, seconds: float, answer: bool = True) -> None:
-        """Advances all gateways by this much time; with `answer`, all their attempts succeed."""
+        """Advance all gateways by this much time; with `answer`, all their attempts succeed."""
         for _ in range(round(seconds / 0.01)):
             messages = []
             for index, gateway in enumerate(self.members):
@@ -55,12 +55,12 @@
                     self.members[action.peer].deliver(api.PeerMessage(sender, action.body))
 
     def count_sent(self) -> int:
-        """Counts the requests of which at least one attempt was sent, over all gateways."""
+        """Count the requests of which at least one attempt was sent, over all gateways."""
         return sum(bool(attempts) for gateway in self.members for attempts in gateway.attempts.values())
 
 
 def customer_owned_by(gateway: CheckedGateway, owner: int) -> int:
-    """Returns the id of a customer that all gateways serve; the gateway of index `owner` owns its quota."""
+    """Return the id of a customer that all gateways serve; the gateway of index `owner` owns its quota."""
     settings = gateway.settings
     quotas = (
         gateway.wrapped.find_quota(
@@ -72,5 +72,5 @@
 
 
 def count_peer_messages(gateway: CheckedGateway) -> int:
-    """Counts the messages that a gateway has sent to its peers."""
+    """Count the messages that a gateway has sent to its peers."""
     return sum(isinstance(action, api.SendToPeer) for _, action in gateway.action_log)
--- a/tests/rules.py
+++ b/tests/rules.py
@@ -34,7 +34,7 @@
 
 
 def make_settings(**overrides: object) -> api.Settings:
-    """Returns the settings of a deployment of three gateways, with some fields overridden."""
+    """Return the settings of a deployment of three gateways, with some fields overridden."""
     base: dict[str, object] = dict(
         classes=(LOOKUP, KEYED, KEYED_ALL, UNSAFE),
         plans=(HARD, SOFT, CAPPED),
@@ -55,7 +55,7 @@
 
 
 def server_list(*names: str, **fields: object) -> api.ServerList:
-    """Returns a snapshot of running servers in zones a and b in turn; `fields` apply to each of them."""
+    """Return a snapshot of running servers in zones a and b in turn; `fields` apply to each of them."""
     return api.ServerList(
         api.ListKind.SNAPSHOT,
         1,
@@ -80,7 +80,7 @@
         self.last_request_id = 0
 
     def deliver(self, event: api.Event) -> list[api.Action]:
-        """Passes an event to the gateway, checks the actions and returns them."""
+        """Pass an event to the gateway, check the actions and return them."""
         if isinstance(event, api.ServerList) and event.kind is not api.ListKind.FAILED:
             if event.kind is not api.ListKind.DELTA:
                 self.out_of_service |= self.listed.keys()
@@ -97,7 +97,7 @@
         return actions
 
     def check_action(self, action: api.Action) -> None:
-        """Records an action and checks it against the rules."""
+        """Record an action and check it against the rules."""
         self.action_log.append((self.now, action))
         if isinstance(action, api.SetTimer):
             self.timers.append((action.due_at, action.tag))
@@ -136,7 +136,7 @@
         self.record_answer(action.request_id, action)
 
     def record_answer(self, request_id: int, action: object) -> None:
-        """Records a request's final answer and checks that it is in time."""
+        """Record a request's final answer and check that it is in time."""
         request, received_at = self.requests[request_id]
         assert self.now <= received_at + request.time_left + ANSWER_GRACE, f"late answer to {request}"
         self.final_actions[request_id] = action
@@ -151,7 +151,7 @@
         units: float = 1.0,
         spread: int = 1,
     ) -> int:
-        """Delivers a new request and returns its id."""
+        """Deliver a new request and return its id."""
         self.last_request_id += 1
         request = api.Request(self.last_request_id, time_left, class_name, plan, customer, units, spread, 0)
         self.requests[self.last_request_id] = (request, self.now)
@@ -161,7 +161,7 @@
     def end_attempt(
         self, request_id: int, result: Result = Result.OK, attempt: int = -1, **outcome_fields: object
     ) -> list[api.Action]:
-        """Ends an attempt of a request, by default the last one; returns the gateway's actions."""
+        """End an attempt of a request, by default the last one; return the gateway's actions."""
         attempts = self.attempts[request_id]
         attempt %= len(attempts)
         attempts[attempt][2] = result
@@ -181,11 +181,11 @@
         )
 
     def in_flight(self, request_id: int) -> int:
-        """Counts the attempts of a request that have not ended."""
+        """Count the attempts of a request that have not ended."""
         return sum(attempt[2] is None for attempt in self.attempts.get(request_id, []))
 
     def run(self, seconds: float) -> None:
-        """Advances the clock and fires the timers that come due."""
+        """Advance the clock and fire the timers that come due."""
         end = self.now + seconds
         while self.timers and min(self.timers)[0] <= end:
             due_at, tag = min(self.timers)
@@ -195,7 +195,7 @@
         self.now = end
 
     def finish(self) -> None:
-        """Runs past every deadline and checks that each request has had its answer."""
+        """Run past every deadline and check that each request has had its answer."""
         self.run(max((request.time_left for request, _ in self.requests.values()), default=0) + 1)
         missing = self.requests.keys() - self.final_actions.keys()
         assert not missing, f"requests without a final answer: {sorted(missing)}"
--- a/tests/soak_troubles.py
+++ b/tests/soak_troubles.py
@@ -27,13 +27,13 @@
         self.hanging = False
 
     async def listen(self) -> dict:
-        """Starts the server and returns its discovery entry."""
+        """Start the server and return its discovery entry."""
         listener = await asyncio.start_server(self.serve, HOST, 0)
         address = "{}:{}".format(*listener.sockets[0].getsockname())
         return SERVER_ENTRY | {"host": self.name, "dial": address, "site": self.zone}
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serves one connection, whose end cancels its attempts."""
+        """Serve one connection, whose end cancels its attempts."""
         parser, queue, ended = hiredis.Reader(), asyncio.Queue(), asyncio.Event()
         answering = asyncio.create_task(self.answer_requests(queue, writer))
         attempts: list[ServerAttempt] = []
@@ -51,7 +51,7 @@
         writer.close()
 
     async def answer_requests(self, queue: asyncio.Queue, writer: asyncio.StreamWriter) -> None:
-        """Answers the requests of one connection in order."""
+        """Answer the requests of one connection in order."""
         rng = self.rng
         while True:
             words, attempt = await queue.get()
@@ -104,13 +104,13 @@
         await asyncio.sleep(self.rng.uniform(0.3, 2.5))
 
     async def clock_steps(self) -> None:
-        """Steps the gateway's wall clock by up to an hour."""
+        """Step the gateway's wall clock by up to an hour."""
         while True:
             await self.pause()
             self.injector.set(clock_step_ms=self.rng.choice((-3_600_000, -5_000, 0, 5_000, 3_600_000)))
 
     async def syscall_failures(self) -> None:
-        """Interrupts and shortens transfers; makes socket calls fail for a while."""
+        """Interrupt and shorten transfers; make socket calls fail for a while."""
         self.injector.set(interrupt_share=50, short_share=100)
         while True:
             await self.pause()
@@ -120,11 +120,11 @@
             self.injector.set(**{share: 0})
 
     async def stalls(self) -> None:
-        """Stalls the gateway for 150 ms in some of its writes."""
+        """Stall the gateway for 150 ms in some of its writes."""
         self.injector.set(stall_share=50, stall_ms=150)
 
     async def drains(self) -> None:
-        """Drains a third of the servers, one after another."""
+        """Drain a third of the servers, one after another."""
         for server in self.rng.sample(self.servers, len(self.servers) // 3):
             await self.pause()
             for discovery in self.discoveries:
@@ -132,20 +132,20 @@
             self.checker.drained_at[server.name] = time.monotonic()
 
     async def discovery_switches(self) -> None:
-        """Switches the gateway's configuration between the two discovery servers."""
+        """Switch the gateway's configuration between the two discovery servers."""
         while True:
             await self.pause()
             self.active_discovery = 1 - self.active_discovery
             self.set_discovery(self.discoveries[self.active_discovery].address)
 
     async def hangs(self) -> None:
-        """Makes a quarter of the servers hang, one after another."""
+        """Make a quarter of the servers hang, one after another."""
         for server in self.rng.sample(self.servers, len(self.servers) // 4):
             await self.pause()
             server.hanging = True
 
     async def slow_discovery(self) -> None:
-        """Delays the answers of discovery and never answers the calls that are pending after a pause."""
+        """Delay the answers of discovery and never answer the calls that are pending after a pause."""
         for discovery in self.discoveries:
             discovery.delay = self.rng.choice((0.3, 0.8, 2.0))
         await self.pause()
--- a/tests/term_judge.py
+++ b/tests/term_judge.py
@@ -48,7 +48,7 @@
         self.gateway_stall = lambda: 0.0  # seconds by which stalls of the gateway exceeded stall_ms
 
     async def measure_lag(self) -> None:
-        """Keeps max_lag up to date until cancelled."""
+        """Keep max_lag up to date until cancelled."""
         while True:
             before = time.monotonic()
             await asyncio.sleep(0.01)
@@ -59,7 +59,7 @@
         print(f"{kind} {request.decode()} {self.records.get(request)} {text}")
 
     def check_late(self, kind: str, request: bytes, overrun: float) -> None:
-        """Records a violation if an event was `overrun` seconds past its limit.
+        """Record a violation if an event was `overrun` seconds past its limit.
 
         Lag of this process and excess stalls of the gateway are allowed for; the decision waits until the
         current lag has been measured.
@@ -77,7 +77,7 @@
         self.records[request] = RequestRecord(idempotency, sent_at, timeout)
 
     def attempt_received(self, request: bytes, server: str, zone: str, timeout_ms: int) -> ServerAttempt:
-        """Checks an attempt that a server has just received in full, with its forwarded timeout."""
+        """Check an attempt that a server has just received in full, with its forwarded timeout."""
         now, record = time.monotonic(), self.records.get(request)
         attempt = ServerAttempt(zone, now)
         if record is None:
@@ -102,7 +102,7 @@
         return attempt
 
     def check_retry(self, request: bytes, record: RequestRecord, attempt: ServerAttempt) -> None:
-        """Checks that an attempt may follow the earlier ones of its request."""
+        """Check that an attempt may follow the earlier ones of its request."""
         possibly_executed = [before for before in record.attempts if before.may_have_run]
         if possibly_executed and record.idempotency == "non_idempotent":
             self.record_violation("NON-IDEMPOTENT REQUEST RETRIED", request)
@@ -125,7 +125,7 @@
             self.record_violation("CONCURRENT ATTEMPTS", request)
 
     def request_refused(self, request: bytes) -> None:
-        """Checks a request that the gateway refused; a refusal promises that a retry is harmless."""
+        """Check a request that the gateway refused; a refusal promises that a retry is harmless."""
         record = self.records[request]
         if record.idempotency != "read_like" and any(attempt.may_have_run for attempt in record.attempts):
             self.record_violation("REFUSED THOUGH IT MAY HAVE RUN", request)
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -65,7 +65,7 @@
 
 
 def run_batches(*batches: str) -> list[str]:
-    """Returns the output lines of a new adapter for these batches, timed 0.1 s apart from t = 10 s."""
+    """Return the output lines of a new adapter for these batches, timed 0.1 s apart from t = 10 s."""
     text = "".join(f"SYNC t_s={10 + i / 10}\n{batch}\nFLUSH\n" for i, batch in enumerate(batches))
     output = io.StringIO()
     serve(io.StringIO(text), output)
--- a/tests/test_arrival_times.py
+++ b/tests/test_arrival_times.py
@@ -33,7 +33,7 @@
 
 
 def numbered_request(number: int, fields: bytes) -> bytes:
-    """Encodes a request with an id and a customer of this number."""
+    """Encode a request with an id and a customer of this number."""
     return (
         pack_request(fields=fields)
         .replace(REQUEST_ID, b"%016x" % number)
@@ -48,7 +48,7 @@
         self.delay, self.clock, self.deadlines = delay, clock, []
 
     async def listen(self) -> str:
-        """Starts the server and returns its address."""
+        """Start the server and return its address."""
         listener = await asyncio.start_server(self.serve, HOST, 0)
         return "{}:{}".format(*listener.sockets[0].getsockname())
 
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -66,26 +66,26 @@
         self.run(WARMUP_TIME)
 
     def start_cold_servers(self, spread: float = 0.5, replaced_count: int = 0) -> None:
-        """Starts the cold servers, replaces some warm ones; notifies all gateways within `spread` seconds."""
+        """Start the cold servers, replace some warm ones and notify all gateways within `spread` seconds."""
         for name in self.cold_servers:
             self.add_server(name, **self.server_options)
         self.publish_list(self.warm_servers[replaced_count:] + self.cold_servers, spread)
 
 
 def cold_start(fleet: ColdStartFleet) -> None:
-    """Cold servers start, and all gateways are notified at once."""
+    """Start the cold servers, and notify all gateways at once."""
     fleet.start_cold_servers(0.0)
     fleet.run(8.0)
 
 
 def replacement(fleet: ColdStartFleet) -> None:
-    """Cold servers replace half of the warm ones."""
+    """Replace half of the warm servers by cold ones."""
     fleet.start_cold_servers(replaced_count=len(fleet.warm_servers) // 2)
     fleet.run(8.0)
 
 
 def gateway_restart(fleet: ColdStartFleet) -> None:
-    """70% of the gateways restart shortly before the cold servers start."""
+    """Restart 70% of the gateways shortly before the cold servers start."""
     fleet.restart_gateways(0.7, 1.0)
     fleet.run(0.5)
     fleet.start_cold_servers()
@@ -93,7 +93,7 @@
 
 
 def traffic_jump(fleet: ColdStartFleet) -> None:
-    """Traffic grows fourfold, beyond the capacity of all servers, before the cold servers start."""
+    """Increase traffic fourfold, beyond the capacity of all servers, before the cold servers start."""
     fleet.request_rate *= 4.0
     fleet.run(3.0)
     fleet.start_cold_servers()
@@ -101,7 +101,7 @@
 
 
 def flapping_list(fleet: ColdStartFleet) -> None:
-    """Traffic grows fourfold, and every other snapshot lacks the cold servers."""
+    """Increase traffic fourfold, and leave the cold servers out of every other snapshot."""
     fleet.request_rate *= 4.0
     fleet.start_cold_servers(0.05)
     for _ in range(12):
@@ -159,7 +159,7 @@
 
 
 def gateway_with_delisted_server() -> CheckedGateway:
-    """Returns a gateway with a request in flight at a cold server that the latest snapshot lacks."""
+    """Return a gateway with a request in flight at a cold server that the latest snapshot lacks."""
     gateway = CheckedGateway(make_settings(peers_enabled=False, slow_start_capacity=0.9))
     gateway.wrapped.fleet.warm_work_rate = 20.0
     gateway.deliver(cold_server_list("c"))
--- a/tests/test_connection_end.py
+++ b/tests/test_connection_end.py
@@ -36,7 +36,7 @@
 async def wait_for_connection(
     harness: GatewayHarness, condition: Callable[[ClientConnection], bool]
 ) -> ClientConnection:
-    """Waits for a connection of the gateway that satisfies a condition, and returns it."""
+    """Wait for a connection of the gateway that satisfies a condition, and return it."""
     async with asyncio.timeout(WAIT_TIMEOUT):
         while True:
             for connection in harness.driver.clients.connections:
@@ -76,7 +76,7 @@
 
 
 async def write_slowly(harness: GatewayHarness, client: RespConnection, data: bytes, interval: float) -> None:
-    """Writes a command in three chunks, with an interval in seconds of the gateway's clock between them."""
+    """Write a command in three chunks, with an interval in seconds of the gateway's clock between them."""
     third = len(data) // 3
     for chunk in (data[:third], data[third : 2 * third]):
         before = dict(harness.driver.clients.mid_command)
@@ -210,9 +210,9 @@
 async def send_unread_large_answer(
     harness: GatewayHarness, connections: asyncio.Queue[RespConnection], following: bytes = b""
 ) -> tuple[RespConnection, ClientConnection]:
-    """Sends an answer that is larger than the kernel's buffers to a client that does not read it.
+    """Send an answer that is larger than the kernel's buffers to a client that does not read it.
 
-    Returns the client and the gateway's end of its connection. `following` holds one more request, if any.
+    Return the client and the gateway's end of its connection. `following` holds one more request, if any.
     """
     client = await harness.connect_client()
     (connection,) = harness.driver.clients.connections
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -46,7 +46,7 @@
 
 
 def numbered_requests(fields: bytes = b"c=lookup,t=village,d=3000", first_number: int = 1) -> Iterator[bytes]:
-    """Yields requests, each with its own id and customer, so that no quota applies."""
+    """Yield requests, each with its own id and customer, so that no quota applies."""
     for number in count(first_number):
         yield (
             pack_request(fields=fields)
@@ -62,7 +62,7 @@
         self.name, self.delay, self.connections, self.connections_made = name, delay, [], 0
 
     async def listen(self) -> TableServer:
-        """Starts the server and returns it."""
+        """Start the server and return it."""
         server = await asyncio.start_server(self.serve, HOST, 0)
         self.address = "{}:{}".format(*server.sockets[0].getsockname())
         return self
@@ -79,7 +79,7 @@
                 connection.write(success_reply(self.name.encode()))
 
     def close_connections(self) -> None:
-        """Closes all connections, so that the next request needs a new one."""
+        """Close all connections, so that the next request needs a new one."""
         for connection in self.connections:
             connection.writer.close()
         self.connections.clear()
@@ -103,7 +103,7 @@
             await asyncio.start_server(self.handle, sock=self.sock)
 
     async def recover(self, entry: dict) -> None:
-        """Answers new calls from now on, with a snapshot of one entry."""
+        """Answer new calls from now on, with a snapshot of one entry."""
         self.entry = entry
         self.available.set()
         if self.refuses_connections:
@@ -120,7 +120,7 @@
 
 
 async def send_request(port: int, request: bytes) -> tuple[RespConnection, object]:
-    """Sends a request on a new connection; returns the connection and the answer."""
+    """Send a request on a new connection; return the connection and the answer."""
     async with asyncio.timeout(WAIT_TIMEOUT):
         client = RespConnection(*await asyncio.open_connection(HOST, port))
     client.write(request)
@@ -128,7 +128,7 @@
 
 
 async def fetch_answer(port: int, request: bytes) -> object:
-    """Sends a request on a new connection and closes it; returns the answer."""
+    """Send a request on a new connection and close it; return the answer."""
     client, answer = await send_request(port, request)
     client.writer.close()
     return answer
@@ -150,7 +150,7 @@
 async def limited_gateway(
     path: Path, discovery: UnavailableDiscovery, address: str, server_count: int = 1
 ) -> AsyncIterator[LimitedGateway]:
-    """Runs a gateway that is ready to serve and knows `server_count` table servers at one address."""
+    """Run a gateway that is ready to serve and knows `server_count` table servers at one address."""
     await discovery.start()
     with socket.socket() as probe, socket.socket(type=socket.SOCK_DGRAM) as peer_probe:
         probe.bind((HOST, 0)), peer_probe.bind((HOST, 0))
@@ -274,7 +274,7 @@
 
 
 async def harness_with_idle_clients(requests: Iterator[bytes]) -> tuple[GatewayHarness, list[RespConnection]]:
-    """Returns a gateway at its client limit and its clients, idle after one request; its clock is frozen."""
+    """Return a gateway at its client limit and its clients, idle after one request; its clock is frozen."""
     harness, server = GatewayHarness(), await TableServer("s1").listen()
     now = harness.driver.clients.clock()
     harness.driver.clients.clock = lambda: now
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -23,7 +23,7 @@
 
 
 def collect_lists(answers: list, count: int, max_body_bytes: int = 2**24) -> tuple[list[HostList], list[str]]:
-    """Returns the first `count` lists delivered from these answers, and the paths of the calls made."""
+    """Return the first `count` lists delivered from these answers, and the paths of the calls made."""
     lists: list[HostList] = []
     paths: list[str] = []
 
@@ -107,7 +107,7 @@
 
 
 def retry_delays(schedule: CallSchedule, *outcomes: str, duration: float = 0.0) -> list[float]:
-    """Returns the seconds from the end of each failed call until the next call is due.
+    """Return the seconds from the end of each failed call until the next call is due.
 
     A call fails as "unreachable" or as "unusable" (invalid response), `duration` seconds after its start, or
     succeeds at once as "snapshot" or "watch".
@@ -164,7 +164,7 @@
     timing = call_schedule
 
     def latest_answer(schedule: CallSchedule, failures: int) -> float:
-        """Returns the latest time of a valid answer after `failures` + 1 failed calls, the first due now."""
+        """Return the latest time of a valid answer after `failures` + 1 failed calls, the first due now."""
         now = schedule.next_call_at
         if failures < 0:
             return now + timing.ANSWER_TIMEOUT
@@ -207,12 +207,12 @@
 
 
 async def never_respond(reader, writer) -> None:
-    """Sends no response."""
+    """Send no response."""
     await asyncio.sleep(60)
 
 
 async def trickle_body(reader, writer) -> None:
-    """Sends an endless body a byte at a time."""
+    """Send an endless body a byte at a time."""
     await send(writer, RESPONSE_HEAD + b"\r\n")
     while True:
         await send(writer, b" ")
@@ -220,52 +220,52 @@
 
 
 async def send_endless_body(reader, writer) -> None:
-    """Sends an endless body at full speed."""
+    """Send an endless body at full speed."""
     await send(writer, RESPONSE_HEAD + b"\r\n" + b'{"seq":2,"whole":true,"hosts":[')
     while True:
         await send(writer, b" " * 65536)
 
 
 async def stall_in_head(reader, writer) -> None:
-    """Sends an incomplete head, then nothing."""
+    """Send an incomplete head, then nothing."""
     await send(writer, RESPONSE_HEAD)
     await asyncio.sleep(60)
 
 
 async def reset_before_response(reader, writer) -> None:
-    """Resets the connection before any response, after which the client may repeat the call."""
+    """Reset the connection before any response, after which the client may repeat the call."""
     writer.transport.abort()
 
 
 async def reset_in_body(reader, writer) -> None:
-    """Resets the connection within a body without a Content-Length, which only a regular close ends."""
+    """Reset the connection within a body without a Content-Length, which only a regular close ends."""
     await send(writer, RESPONSE_HEAD + b"\r\n" + b'{"seq":2,"whole":true,"hosts":[')
     await asyncio.sleep(0.02)
     writer.transport.abort()
 
 
 async def truncate_body(reader, writer) -> None:
-    """Closes the connection before the Content-Length is reached."""
+    """Close the connection before the Content-Length is reached."""
     await send(writer, RESPONSE_HEAD + b'Content-Length: 500\r\n\r\n{"seq":2,"whole":true,"hosts":[]}')
     writer.close()
 
 
 async def stall_error_body(reader, writer) -> None:
-    """Sends status 503 with a body that never arrives."""
+    """Send status 503 with a body that never arrives."""
     await send(writer, b"HTTP/1.1 503 Overbooked\r\nContent-Length: 500\r\n\r\n")
     await asyncio.sleep(60)
 
 
 async def send_invalid_entry(reader, writer) -> None:
-    """Sends a snapshot with an invalid entry."""
+    """Send a snapshot with an invalid entry."""
     body = json.dumps({"seq": 2, "whole": True, "hosts": ["odd"]}).encode()
     await send(writer, RESPONSE_HEAD + b"Content-Length: %d\r\n\r\n" % len(body) + body)
 
 
 async def raw_scripted_discovery(script: list[ConnectionHandler]) -> tuple[str, list[str]]:
-    """Starts a discovery server that handles its n-th call with the n-th handler, without an HTTP library.
+    """Start a discovery server that handles its n-th call with the n-th handler, without an HTTP library.
 
-    Returns its address and the paths of the calls, which grow as calls arrive.
+    Return its address and the paths of the calls, which grow as calls arrive.
     """
     calls: list[str] = []
 
@@ -285,7 +285,7 @@
 
 
 def snapshot_handler(version: int, *entries: dict, content_length: bool = True) -> ConnectionHandler:
-    """Returns a handler that sends a snapshot in pieces.
+    """Return a handler that sends a snapshot in pieces.
 
     Without a Content-Length, closing the connection ends the body.
     """
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -26,7 +26,7 @@
 
 @pytest.fixture
 def short_accept_period(monkeypatch):
-    """Shortens the period in which a draining process still accepts connections."""
+    """Shorten the period in which a draining process still accepts connections."""
     monkeypatch.setattr(program, "DRAIN_ACCEPT_PERIOD", 0.05)
 
 
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -28,7 +28,7 @@
 
 
 async def assert_nothing_sent(harness: GatewayHarness, server) -> None:
-    """Asserts that no request is left, and that the server's connection closes without any data."""
+    """Assert that no request is left, and that the server's connection closes without any data."""
     await harness.wait_reusable("s1")
     assert (
         not harness.driver.exchanges
@@ -40,17 +40,17 @@
 
 
 def fill_pipeline(harness: GatewayHarness) -> bytes:
-    """Returns another request, which reaches the limit on pending commands."""
+    """Return another request, which reaches the limit on pending commands."""
     return pack_request().replace(REQUEST_ID, OTHER_REQUEST_ID)
 
 
 def exceed_invalid_commands(harness: GatewayHarness) -> bytes:
-    """Returns enough invalid commands to close the connection."""
+    """Return enough invalid commands to close the connection."""
     return hiredis.pack_command(("NONSENSE",)) * client_connection.MAX_INVALID_COMMANDS
 
 
 def mark_slow_reader(harness: GatewayHarness) -> bytes:
-    """Pauses reading as for a client that does not read its replies; returns no data."""
+    """Pause reading as for a client that does not read its replies; return no data."""
     (connection,) = [c for c in harness.driver.clients.connections if c.pending]
     connection.pause_writing()
     return b""
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -22,7 +22,7 @@
 
 
 def init_owned_by_every_gateway(self, plan, request, settings, now):
-    """Makes each gateway the owner of its customers."""
+    """Make each gateway the owner of its customers."""
     CUSTOMER_INIT(self, plan, request, settings, now)
     self.owners = [settings.gateway_index] if self.owners else []
 
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -27,7 +27,7 @@
     seed: int = 1,
     failing_servers: frozenset[str] = frozenset(),
 ):
-    """Returns the number of attempts per server; `request_rate` is per second."""
+    """Return the number of attempts per server; `request_rate` is per second."""
     classes = (api.RequestClass("lookup", latency_target=1.0, timeout=3.0),)
     plan = api.Plan("hard", rate=10**4, burst=10**5)
     gateway = CheckedGateway(
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -306,7 +306,7 @@
 
 
 def refused_ratio(slow_servers: tuple[str, ...], latency: float) -> float:
-    """Returns the ratio of refused requests at 10/s over 20 servers; slow ones take `latency` seconds."""
+    """Return the ratio of refused requests at 10/s over 20 servers; slow ones take `latency` seconds."""
     gateway = CheckedGateway(make_settings(gateway_count=40, hedging_enabled=False, cancel_enabled=False))
     gateway.deliver(server_list(*[f"s{i}" for i in range(20)]))
     request_ids = []
@@ -355,7 +355,7 @@
 
 
 def waiting_request(stage: str) -> tuple[CheckedGateway, int]:
-    """Returns a gateway and the id of its request, which waits in this stage and is due within a second."""
+    """Return a gateway and the id of its request, which waits in this stage and is due within a second."""
     if stage == "quota":  # the owner has not answered the quota request
         gateway = CheckedGateway(make_settings(gateway_count=3))
         gateway.deliver(server_list("s1", "s2"))
@@ -419,7 +419,7 @@
 
 
 def limit_after_messages(limit: float, peer_limit: float, count: int) -> float:
-    """Returns a gateway's concurrency limit after `count` messages from a peer that reports `peer_limit`."""
+    """Return a gateway's concurrency limit after `count` messages from a peer that reports `peer_limit`."""
     gateway = CheckedGateway(make_settings(gateway_count=40))
     gateway.deliver(server_list("s1", "s2"))
     gateway.wrapped.fleet.limit = limit
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -32,7 +32,7 @@
 
 
 def refused_address() -> str:
-    """Returns an address on which nothing listens."""
+    """Return an address on which nothing listens."""
     with closing(socket.socket()) as probe:
         probe.bind((HOST, 0))
         return "{}:{}".format(*probe.getsockname())
@@ -296,7 +296,7 @@
         server_socket.setblocking(True)
 
         def stall() -> bool:
-            """Blocks the event loop until the first client's timeout has passed."""
+            """Block the event loop until the first client's timeout has passed."""
             server_socket.sendall(success_reply(b"in time"))
             server_socket.close()
             time.sleep(0.5)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -60,7 +60,7 @@
 
 
 def config_without(path: str) -> dict:
-    """Returns a configuration without the value at a dotted path."""
+    """Return a configuration without the value at a dotted path."""
     config = raw_config()
     node = config
     *parents, key = path.split(".")
@@ -100,7 +100,7 @@
 
 @asynccontextmanager
 async def run_program(path: Path, *known: dict | None, **environ: str) -> AsyncIterator[RunningProgram]:
-    """Runs the program with one server; yields its process, its port and the server's connections.
+    """Run the program with one server; yield its process, its port and the server's connections.
 
     The program's known list is `known`, by default a list with that server. Discovery is down unless
     `environ` names another address.
@@ -232,7 +232,7 @@
 
 
 def unavailable_discovery(silent: bool) -> tuple[socket.socket, str]:
-    """Reserves an address for discovery; calls are refused, or accepted and never answered if `silent`."""
+    """Reserve an address for discovery; calls are refused, or accepted and never answered if `silent`."""
     sock = socket.socket()
     sock.bind((HOST, 0))
     if silent:
@@ -241,7 +241,7 @@
 
 
 async def connect_when_ready(port: int) -> RespConnection:
-    """Returns a client connection once the gateway answers PING with +PONG."""
+    """Return a client connection once the gateway answers PING with +PONG."""
     async with asyncio.timeout(WAIT_TIMEOUT):
         while True:
             client = await connect(port)
--- a/tests/test_quota_across_gateways.py
+++ b/tests/test_quota_across_gateways.py
@@ -83,7 +83,7 @@
 
 
 def measure_concurrency(group: GatewayGroup, steps: int) -> tuple[int, int]:
-    """Sends requests that are answered after 0.2 s; returns the peak in flight and the number sent."""
+    """Send requests that are answered after 0.2 s; return the peak in flight and the number sent."""
     rng, peak = random.Random(3), 0
     for _ in range(steps):
         rng.choice(group.members).request(plan="open", spread=len(group.members))
@@ -204,7 +204,7 @@
 def send_unanswered_request(
     gateway: CheckedGateway, plan: str = "hard", **options: object
 ) -> tuple[int, int]:
-    """Sends a request whose owner does not answer; returns the customer and the request id."""
+    """Send a request whose owner does not answer; return the customer and the request id."""
     customer = customer_owned_by(gateway, 1)
     request = gateway.request(customer=customer, plan=plan, spread=gateway.settings.gateway_count, **options)
     return customer, request
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -30,7 +30,7 @@
 
 
 async def next_connection(connections: Sequence[asyncio.Queue[RespConnection]]) -> RespConnection:
-    """Returns the next connection that any of these servers accepts."""
+    """Return the next connection that any of these servers accepts."""
     tasks = [asyncio.create_task(queue.get()) for queue in connections]
     async with asyncio.timeout(WAIT_TIMEOUT):
         (finished,), pending = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
@@ -42,9 +42,9 @@
 async def client_with_failed_attempt(
     harness: GatewayHarness,
 ) -> tuple[RespConnection, list[asyncio.Queue[RespConnection]], asyncio.Event]:
-    """Fails the first attempt of a keyed request at one of two servers and delays further connections.
+    """Fail the first attempt of a keyed request at one of two servers and delay further connections.
 
-    Returns the client, the connections that the servers accept, and an event that ends the delay.
+    Return the client, the connections that the servers accept, and an event that ends the delay.
     """
     addresses, connections = zip(*[await harness.start_server() for _ in range(2)], strict=True)
     harness.driver.on_list(host_list(s1=addresses[0], s2=addresses[1]))
@@ -65,7 +65,7 @@
 
 
 async def assert_nothing_written(connections: list[asyncio.Queue[RespConnection]]) -> None:
-    """Checks that accepted connections end or carry no data for 0.3 s."""
+    """Check that accepted connections end or carry no data for 0.3 s."""
     for queue in connections:
         while not queue.empty():
             with pytest.raises((TimeoutError, EOFError, ConnectionError)):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -92,7 +92,7 @@
 
 
 def cold_send_times(rejects: bool) -> list[float]:
-    """Returns the times of sends to a cold server that replaces two warm ones; it may reject all requests."""
+    """Return the times of sends to a cold server that replaces two warm ones; it may reject all requests."""
     gateway = CheckedGateway()
     gateway.deliver(server_list("w1", "w2"))
     send_times = []
@@ -122,7 +122,7 @@
 
 
 def units_sent_on_capped_plan(gateway: CheckedGateway, seconds: float) -> float:
-    """Returns the units sent for a customer that sends continuously on a plan with a cap."""
+    """Return the units sent for a customer that sends continuously on a plan with a cap."""
     end = gateway.now + seconds
     while gateway.now < end:
         gateway.request(plan="capped", spread=2)
--- a/tests/test_server_answers.py
+++ b/tests/test_server_answers.py
@@ -81,7 +81,7 @@
 
 
 async def outcome_of_answer(*parts: bytes) -> api.Outcome:
-    """Returns the outcome that the decision module gets for an answer sent in these parts."""
+    """Return the outcome that the decision module gets for an answer sent in these parts."""
     harness, connections = await harness_with_server()
     client, server = await request_in_flight(harness, connections)
     for part in parts:
--- a/tests/test_slow_discovery.py
+++ b/tests/test_slow_discovery.py
@@ -17,7 +17,7 @@
 
 
 async def measure_propagation(answer_delay: float, change_delay: float, silent: bool = False) -> float:
-    """Returns the seconds from a change until its delivery, at most 2 * PROPAGATION_TIME.
+    """Return the seconds from a change until its delivery, at most 2 * PROPAGATION_TIME.
 
     The change comes `change_delay` seconds after the first list. With `silent`, calls received before the
     change are never answered.
@@ -52,7 +52,7 @@
 
 
 async def longest_propagation(silent: bool) -> dict[float, float]:
-    """Returns the longest propagation time by answer delay; runs all scenarios at once."""
+    """Run all scenarios at once; return the longest propagation time by answer delay."""
     scenarios = [
         (answer_delay, change_delay) for answer_delay in ANSWER_DELAYS for change_delay in CHANGE_DELAYS
     ]
--- a/tests/test_start_faults.py
+++ b/tests/test_start_faults.py
@@ -32,7 +32,7 @@
 
 
 def gateway_config(port: int, **overrides: object) -> dict:
-    """Returns a configuration with a known list and a peer socket; discovery is down."""
+    """Return a configuration with a known list and a peer socket; discovery is down."""
     peer_address = f"{HOST}:{free_port()}"
     addresses = {
         "listen": f"{HOST}:{port}",
@@ -163,7 +163,7 @@
 
 
 async def answer_request(connections: asyncio.Queue[RespConnection]) -> None:
-    """Answers one request on the next new connection and closes it."""
+    """Answer one request on the next new connection and close it."""
     server = await next_item(connections)
     await server.read()
     server.write(success_reply(b"value"))
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -31,13 +31,13 @@
 
 
 async def start_table_server(name: str) -> tuple[TableServer, dict]:
-    """Starts a server that answers with its name; returns it and its entry, with a start long ago."""
+    """Start a server that answers with its name; return it and its entry, with a start long ago."""
     server = await TableServer(name, ANSWER_DELAY).listen()
     return server, SERVER_ENTRY | {"host": name, "dial": server.address, "born_ms": 0}
 
 
 async def count_answers(port: int, seconds: float) -> Counter[bytes]:
-    """Counts answers by server while four clients send requests, each for a customer of its own."""
+    """Count answers by server while four clients send requests, each for a customer of its own."""
     counts: Counter[bytes] = Counter()
 
     async def client(client_number: int) -> None:
@@ -148,7 +148,7 @@
         self.start_times = StartTimes(SLOW_START_DURATION, lambda: self.now, lambda: self.wall_time)
 
     def resolve_age(self, start_time: float, kind: ListKind = ListKind.DELTA, name: str = "s") -> float:
-        """Returns the age (s) of a server listed with this start time (Unix time, s)."""
+        """Return the age (s) of a server listed with this start time (Unix time, s)."""
         (server,) = self.start_times.resolve((Server(name, started_at=start_time),), kind)
         return self.now - server.started_at
 
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -93,7 +93,7 @@
     """O4 and Y1: clients stop in the middle of a command and keep the connection open."""
 
     async def measure_end(port: int, data: bytes) -> float:
-        """Returns the seconds until the gateway answers with the timeout error or closes."""
+        """Return the seconds until the gateway answers with the timeout error or closes."""
         client, started_at = RespConnection(*await asyncio.open_connection(HOST, port)), time.monotonic()
         client.write(data)
         with suppress(EOFError, ConnectionError):
--- a/thymehinge/__main__.py
+++ b/thymehinge/__main__.py
@@ -131,6 +131,7 @@
 
 
 def address_family(address: Address) -> socket.AddressFamily:
+    """Return the socket family of an address: IPv6 if the host contains a colon, else IPv4."""
     return socket.AF_INET6 if ":" in address[0] else socket.AF_INET
 
 
--- a/thymehinge/adapter.py
+++ b/thymehinge/adapter.py
@@ -83,23 +83,23 @@
         return self._read(int, name, default)
 
     def number(self, name: str, default: float | None = None) -> float:
-        """Returns a finite number."""
+        """Return a finite number."""
         return self._read(_finite, name, default)
 
     def flag(self, name: str) -> bool:
-        """Returns whether the field is 1; a missing field is False."""
+        """Return whether the field is 1; a missing field is False."""
         return self._read(lambda v: {"1": True, "0": False}[v], name, False)
 
     def choice(self, name: str, choices: dict[str, Any]) -> Any:
-        """Returns what `choices` holds for the field's value."""
+        """Return what `choices` holds for the field's value."""
         return self._read(choices.__getitem__, name, None)
 
     def binary(self, name: str) -> bytes:
-        """Returns the bytes that the field holds in base64; "-" means none."""
+        """Return the bytes that the field holds in base64; "-" means none."""
         return self._read(lambda v: b"" if v == "-" else base64.b64decode(v, validate=True), name, None)
 
     def load_report(self) -> dict[str, float]:
-        """Returns the load report in `stats`, written as metric:value pairs separated by commas."""
+        """Return the load report in `stats`, written as metric:value pairs separated by commas."""
         text = self.values.get("stats", "")
         if text in ("", "-"):
             return {}
@@ -113,7 +113,7 @@
 
 
 def _finite(text: str) -> float:
-    """Converts text to a float; raises ValueError for NaN and infinities."""
+    """Convert text to a float; raise ValueError for NaN and infinities."""
     value = float(text)
     if value - value != 0:
         raise ValueError(text)
@@ -121,7 +121,7 @@
 
 
 def read_event(fields: Fields) -> api.Event | None:
-    """Converts a line other than TOPOLOGY to an event; returns None for an unknown message."""
+    """Convert a line other than TOPOLOGY to an event; return None for an unknown message."""
     match fields.message:
         case "ORDER":
             return api.Request(
@@ -175,7 +175,7 @@
 
 
 def read_server(fields: Fields) -> api.Server:
-    """Converts an ITEM line to an entry of a server list."""
+    """Convert an ITEM line to an entry of a server list."""
     if fields.message != "ITEM":
         raise WireError(f"{fields.message or 'empty line'}: expected ITEM")
     return api.Server(
@@ -189,7 +189,7 @@
 
 
 def format_action(gateway_id: int, action: api.Action) -> str:
-    """Formats an action as a line for the simulator."""
+    """Format an action as a line for the simulator."""
     prefix, request_id = f"gateway_id={gateway_id}", getattr(action, "request_id", None)
     match action:
         case api.Send():
@@ -233,7 +233,7 @@
     def dispatch(
         self, gateway_id: int, now: float, event: Callable[[], api.Event] | api.Event
     ) -> Iterable[str]:
-        """Passes an event to one instance and returns its actions as lines.
+        """Pass an event to one instance and return its actions as lines.
 
         An exception in the instance is reported as one BROKEN line.
         """
@@ -247,7 +247,7 @@
             return [f"BROKEN gateway_id={gateway_id} body_text={text}"]
 
     def handle_message(self, fields: Fields, entries: Iterable[Fields]) -> Iterable[str]:
-        """Handles one message of a batch and returns the lines that answer it.
+        """Handle one message of a batch and return the lines that answer it.
 
         Args:
             fields: the message.
@@ -280,7 +280,7 @@
 
 
 def serve(source: Iterable[str], sink: TextIO) -> None:
-    """Answers batches until the input ends.
+    """Answer batches until the input ends.
 
     Raises:
         WireError: a line violates the protocol; the message names the line number.
@@ -316,7 +316,7 @@
 
 
 def main() -> int:
-    """Serves standard input and output; returns the process exit code."""
+    """Serve standard input and output; return the process exit code."""
     try:
         serve(sys.stdin, sys.stdout)
     except WireError as error:
--- a/thymehinge/decisions.py
+++ b/thymehinge/decisions.py
@@ -122,7 +122,7 @@
         self.leases[holder] = now + lease
 
     def expected_wait(self, now: float, latency: float) -> float:
-        """Estimated seconds until a new waiter gets a slot; 0 where one is free."""
+        """Estimate the seconds until a new waiter gets a slot; 0 where one is free."""
         self.expire(now)
         taken = len(self.leases) + len(self.waiters)
         return latency * (taken + 1 - self.capacity) / self.capacity if taken >= self.capacity else 0.0
@@ -195,14 +195,14 @@
         )
 
     def is_idle(self) -> bool:
-        """Whether a new instance would have the same state, so that this one can be dropped."""
+        """Return whether a new instance would have the same state, so that this one can be dropped."""
         plan, full = self.plan, self.level >= self.capacity * self.local_share
         below_cap = plan.cap_rate <= 0 or self.cap_level >= plan.cap_burst / self.spread
         active = self.in_flight or any(until > self.refilled_at for until in self.slots.leases.values())
         return full and below_cap and not active and self.demand < IDLE_DEMAND
 
     def grant_probability(self, now: float) -> float:
-        """Probability that the owner grants a quota request; recovers to 1 as the last answer ages."""
+        """Return the probability that the owner grants a request; recovers to 1 as the last answer ages."""
         return 1 - (1 - self.grant_ratio) * math.exp((self.last_answer_at - now) / DEMAND_DECAY_TIME)
 
     def record_answer(self, now: float, granted: bool) -> None:
@@ -211,7 +211,7 @@
         self.grant_ratio += GRANT_RATIO_WEIGHT * (granted - self.grant_ratio)
 
     def draw(self, now: float, units: float, max_wait: float) -> tuple[int, float]:
-        """Charge a request, in order of arrival; returns the kind of answer and the seconds to wait.
+        """Charge a request, in order of arrival; return the kind of answer and the seconds to wait.
 
         The wait is the time until the tokens are available; longer than `max_wait` is denied.
         """
@@ -234,7 +234,7 @@
         )
 
     def cap_wait(self, units: float) -> float:
-        """Seconds until this gateway's part of the cap covers the units; not positive if it does."""
+        """Return the seconds until this gateway's part of the cap covers the units; at most 0 if it does."""
         plan = self.plan
         return (units - self.cap_level) * self.spread / plan.cap_rate if plan.cap_rate > 0 else 0.0
 
@@ -261,7 +261,7 @@
         return self.failure_rate
 
     def estimated_load(self, now: float) -> float:
-        """Work in flight from here and, by the last load report, from other gateways."""
+        """Estimate the work in flight from here and, by the last load report, from other gateways."""
         return self.load + self.reported_queue * REPORT_WEIGHT * math.exp(
             (self.reported_at - now) / REPORT_DECAY_TIME
         )
@@ -322,7 +322,7 @@
         self.delisted = dict(kept[-MAX_DELISTED:])
 
     def capacity(self, server: TrackedServer, now: float) -> float:
-        """The fraction of its full capacity that a server has reached since its cold start; 1 when warm."""
+        """Return the fraction of full capacity a server has reached since its cold start; 1 when warm."""
         settings, started = self.settings, server.entry.started_at
         if started <= 0 or settings.slow_start_duration <= 0 or now - started >= settings.slow_start_duration:
             return 1.0
@@ -333,7 +333,7 @@
         )
 
     def expected_latency(self, server: TrackedServer, now: float, work: float) -> float:
-        """Expected seconds until this server answers; raised by the age of its oldest attempt in flight."""
+        """Estimate the seconds until a server answers, raised by the age of its oldest attempt in flight."""
         unit_latency = (server.unit_latency or self.typical_latency) / self.capacity(server, now)
         if server.unit_latency > self.typical_latency and not server.attempts:  # old measurements fade
             unit_latency = self.typical_latency + (unit_latency - self.typical_latency) * math.exp(
@@ -347,7 +347,7 @@
         return max(wait, 0.7 * (now - next(iter(server.attempts.values())).sent_at))
 
     def cold_budget(self, capacity: float) -> float:
-        """Work that this gateway may send to a cold server in one `overload_window`."""
+        """Return the work that this gateway may send to a cold server in one `overload_window`."""
         settings = self.settings
         return (
             COLD_BUDGET_SAFETY
@@ -358,7 +358,7 @@
         )
 
     def within_cold_budget(self, server: TrackedServer, now: float, work: float, capacity: float) -> bool:
-        """Whether a cold server may get this work now.
+        """Return whether a cold server may get this work now.
 
         Where the budget is below one request, gateways take turns: a hash selects those that may send one.
         """
@@ -376,7 +376,7 @@
         return turn < budget / work * 2**32
 
     def sample_servers(self, eligible: list[TrackedServer]) -> list[TrackedServer]:
-        """A random sample to compare for a request; in a large fleet mostly of preferred servers."""
+        """Return a random sample to compare for a request; in a large fleet mostly of preferred servers."""
         if len(eligible) <= SAMPLE_SIZE:
             return eligible
         if len(self.servers) <= LARGE_FLEET_SIZE or len(self.preferred) < MAX_PREFERRED:
@@ -399,13 +399,13 @@
                 del self.preferred[next(iter(self.preferred))]
 
     def start_deadline(self, server: TrackedServer, now: float) -> float:
-        """Time by which an attempt must start: for a cold server, within one window of its budget."""
+        """Return the latest start of an attempt: for a cold server, within one window of its budget."""
         return now + self.settings.overload_window if self.capacity(server, now) < 1 else math.inf
 
     def choose_server(
         self, now: float, work: float, latency_target: float, eligible: list[TrackedServer]
     ) -> TrackedServer | None:
-        """The cheapest sampled server that is expected to answer in time, or None.
+        """Return the cheapest sampled server that is expected to answer in time, or None.
 
         The cost is the expected latency plus a penalty for failures. A cold server whose cold budget is
         below one request is compared as if it were warm, and against the request's own latency target:
@@ -459,7 +459,7 @@
     ) -> bool:
         """Update statistics and the concurrency limit with the end of an attempt.
 
-        Returns true for a good answer of a warm and healthy server, whose latency is representative.
+        Return true for a good answer of a warm and healthy server, whose latency is representative.
         """
         work, lost_earlier = attempt.work, attempt.sent_at <= self.lost_cutoff(server)
         self.release_attempt(attempt)
@@ -514,7 +514,7 @@
         return result is Result.OK and healthy
 
     def lost_cutoff(self, server: TrackedServer) -> float:
-        """Unanswered attempts sent up to this time are lost: later ones have been answered."""
+        """Return the cutoff: unanswered attempts sent up to it are lost, as later ones have been answered."""
         return server.last_answered_send - LOST_ATTEMPT_LATENCIES * self.typical_latency
 
     def release_attempt(self, attempt: Attempt) -> None:
@@ -526,7 +526,7 @@
         attempt.work = 0.0
 
     def admits(self, value: float) -> bool:
-        """Whether to admit a request: at random while the concurrency limit is too low to be enforced.
+        """Decide whether to admit a request: at random while the concurrency limit is too low to be enforced.
 
         The lowest values are refused first, but UNRANKED_FRACTION of the decisions ignore the value.
         """
@@ -628,7 +628,7 @@
         return any(attempt.may_have_run for attempt in self.attempts)
 
     def retry_is_harmless(self) -> bool:
-        """Whether the client may retry: a second execution is impossible or harmless."""
+        """Return whether the client may retry: a second execution is impossible or harmless."""
         spec = self.stats.spec
         harmless = spec.idempotency is Idempotency.SAFE or (
             spec.idempotency is Idempotency.KEYED and spec.dedup_scope is DedupScope.ALL
@@ -636,7 +636,7 @@
         return harmless or not self.may_have_run
 
     def start_deadline(self) -> float:
-        """Time by which a further attempt must start: the end of the dedup window, less a safety margin."""
+        """Return the latest start of a further attempt: the end of the dedup window, less a safety margin."""
         spec, sent_times = self.stats.spec, [a.sent_at for a in self.attempts if a.may_have_run]
         if not sent_times or spec.idempotency is not Idempotency.KEYED:
             return math.inf
@@ -645,7 +645,7 @@
         )
 
     def eligible(self, fleet: ServerFleet, now: float) -> list[TrackedServer]:
-        """The servers that the class allows for the next attempt, without those tried where others remain."""
+        """Return the servers that the class allows for an attempt, less those tried where others remain."""
         servers = list(fleet.servers.values())
         if not self.attempts:
             return servers
@@ -682,7 +682,7 @@
     def pack_entry(
         cls, kind: int, tag: int, key: int, plan_index: int, units: float, wait: float, fill: float
     ) -> bytes:
-        """One entry's bytes; `wait` is in seconds, `fill` from 0 to 1. Values out of range are clamped."""
+        """Encode one entry; `wait` is in seconds, `fill` from 0 to 1. Values out of range are clamped."""
         scaled_units = max(-(2**15), min(2**15 - 1, round(units * cls.UNIT_SCALE)))
         wait, fill = min(2**16 - 1, round(wait * 1000)), round(255 * min(1.0, max(0.0, fill)))
         return cls.ENTRY_FORMAT.pack(
@@ -691,13 +691,13 @@
 
     @classmethod
     def encode(cls, limit: float, entries: list[bytes]) -> bytes:
-        """A datagram with the concurrency limit of this gateway and packed entries."""
+        """Encode a datagram with the concurrency limit of this gateway and packed entries."""
         body = cls.MAGIC + bytes([round(255 * min(1.0, limit / ADMISSION_LIMIT))]) + b"".join(entries)
         return body + struct.pack(">I", zlib.crc32(body))
 
     @classmethod
     def decode(cls, body: bytes) -> tuple[float, list[QuotaEntry]] | None:
-        """The sender's concurrency limit and the entries; None for a malformed datagram."""
+        """Decode the sender's concurrency limit and the entries; return None for a malformed datagram."""
         well_formed = (
             len(body) >= 7 and (len(body) - 7) % cls.ENTRY_FORMAT.size == 0 and body[:2] == cls.MAGIC
         )
@@ -752,7 +752,7 @@
         )
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        """Process an event and all timers that are due; returns the actions in order."""
+        """Process an event and all timers that are due; return the actions in order."""
         self.actions = []
         if self.settings.watch_required and not self.watching:
             self.watching = True
@@ -853,7 +853,7 @@
         self.request_quota(now, job)
 
     def find_quota(self, now: float, request: api.Request) -> CustomerQuota:
-        """The quota of the request's customer, created where it is new or its plan has changed.
+        """Return the quota of the request's customer, created where it is new or its plan has changed.
 
         A plan that is not configured has no limits.
         """
@@ -869,7 +869,7 @@
         return quota
 
     def wait_budget(self, job: Job) -> float:
-        """Seconds that a request may wait for tokens and still be served in time.
+        """Return the seconds that a request may wait for tokens and still be served in time.
 
         The time is reduced for classes of lower value and for retries of the client.
         """
@@ -879,7 +879,7 @@
         return max(0.0, budget - SERVICE_MARGIN * job.stats.latency) * fraction
 
     def expected_work(self, job: Job) -> float:
-        """Expected cost in requests of mean cost, from the latency of the class and the units."""
+        """Estimate the cost in requests of mean cost, from the latency of the class and the units."""
         answers = sum(stats.total_answers for stats in self.classes.values())
         latency = sum(s.latency * s.total_answers for s in self.classes.values()) / max(1, answers)
         class_factor = job.stats.latency / latency if job.stats.total_answers and latency > 0 else 1.0
@@ -939,7 +939,7 @@
         self.schedule(now + timeout + 2 * (self.next_message_at - now), "quota", job.request.request_id)
 
     def quota_timeout(self, job: Job) -> float:
-        """Seconds that a request may spend on quota requests.
+        """Return the seconds that a request may spend on quota requests.
 
         Where they are usually answered, the time until it must be decided; else less, so that it can still
         meet its latency target.
@@ -1011,7 +1011,7 @@
             )
 
     def owned_quota(self, now: float, key: int, plan: api.Plan, fill: float) -> CustomerQuota:
-        """The bucket of a customer that this gateway owns; a new one starts at `fill` of its capacity."""
+        """Return a customer's bucket that this gateway owns; a new one starts at `fill` of its capacity."""
         quota = self.owned_quotas.get(key)
         if quota is None:
             quota = CustomerQuota(plan, api.Request(0, 0.0, "", plan.name, key), self.settings, now)
@@ -1138,7 +1138,7 @@
     def adjust_charge(self, now: float, job: Job, units: float) -> None:
         """Charge further units (negative: return some) to the request's bucket, here or at the owner.
 
-        Releases the slot of a request that is done. The owner is not notified of less than half a unit.
+        Release the slot of a request that is done. The owner is not notified of less than half a unit.
         """
         quota = job.quota
         if not quota.owners:
@@ -1301,7 +1301,7 @@
     def run_controller(self, now: float) -> None:
         """Cut use beyond quotas while a class misses its latency target, else raise it gradually.
 
-        Also drops expired records and idle customers.
+        Also drop expired records and idle customers.
         """
         self.fleet.update_estimates(now)
         missed = any([stats.close_interval() for stats in self.classes.values()])
--- a/thymehinge/emulator/hollow.py
+++ b/thymehinge/emulator/hollow.py
@@ -48,7 +48,7 @@
 
 
 def peer_message_slopes(sizes: Sizes, seed: int) -> Iterator[Slope]:
-    """Peer messages and bytes per request, their growth with the fleet, and their skew over the gateways."""
+    """Measure peer messages and bytes per request, their growth with the fleet, and skew over gateways."""
     per_request = []
     for gateways in sizes.fleet_sizes:
         fleet = run_and_count(FleetSpec(gateways, REQUEST_RATE), seed, sizes.window)
@@ -104,7 +104,7 @@
 
 
 def peer_send_rate_slopes(sizes: Sizes, seed: int) -> Iterator[Slope]:
-    """Peer messages/s of a gateway at high request rates, where PEER_SEND_LIMIT applies."""
+    """Measure peer messages/s of a gateway at high request rates, where PEER_SEND_LIMIT applies."""
     for rate in HIGH_REQUEST_RATES:
         fleet = run_and_count(FleetSpec(sizes.high_rate_gateways, rate), seed, sizes.window, warmup=1.0)
         send_rate = fleet.network.traffic.sent / sizes.high_rate_gateways / sizes.window
@@ -116,7 +116,7 @@
 
 
 def customer_state_slopes(sizes: Sizes, seed: int) -> Iterator[Slope]:
-    """Customers and buckets that a gateway keeps once idle ones are dropped as fast as new ones are added."""
+    """Count the customers and buckets a gateway keeps once idle ones are dropped as fast as new ones come."""
     gateways = sizes.fleet_sizes[0]
     seconds = 2 * CUSTOMER_EXPIRY
     fleet = run_and_count(
@@ -133,7 +133,7 @@
 
 
 def server_contact_slopes(sizes: Sizes, seed: int) -> Iterator[Slope]:
-    """Table servers that a gateway sends to within the window, and gateways that send to a server.
+    """Count table servers that a gateway sends to within the window, and gateways that send to a server.
 
     The number of connections follows from these.
     """
@@ -154,7 +154,7 @@
 
 
 def discovery_slopes(sizes: Sizes, seed: int) -> Iterator[Slope]:
-    """List entries sent to a gateway for restarted table servers, and for a crashed zone."""
+    """Count the list entries sent to a gateway for restarted table servers, and for a crashed zone."""
     servers = sizes.list_sizes[1]
     fleet = Fleet(FleetSpec(5, 0.0, servers), seed)
     entries_sent, restarts = fleet.discovery.entries_sent, 20
@@ -187,7 +187,7 @@
 
 
 def worst_case_slopes(sizes: Sizes, seed: int) -> Iterator[Slope]:
-    """Peer messages after a restart of all gateways, and the effects of the partition of one region."""
+    """Measure peer messages after a restart of all gateways, and the effects of partitioning one region."""
     spec, seconds = FleetSpec(sizes.worst_case_gateways, REQUEST_RATE), sizes.window
     conditions = f"{sizes.worst_case_gateways} gateways, {REQUEST_RATE:g} requests/s each"
     fleet = run_and_count(spec, seed, seconds)
--- a/thymehinge/emulator/http_discovery.py
+++ b/thymehinge/emulator/http_discovery.py
@@ -123,6 +123,7 @@
 
 
 def encode_entry(entry: dict[str, Any]) -> bytes:
+    """Encode a list entry as JSON without whitespace."""
     return json.dumps(entry, separators=(",", ":")).encode()
 
 
--- a/thymehinge/emulator/real.py
+++ b/thymehinge/emulator/real.py
@@ -136,7 +136,7 @@
 def idle_slopes(
     gateway: GatewayProcess, discovery: HttpDiscovery, start: StartResult, watches: int
 ) -> Iterator[Slope]:
-    """Memory, descriptors and discovery traffic of a gateway without requests, at SHORT_LIST servers."""
+    """Measure memory, descriptors and discovery traffic of an idle gateway, at SHORT_LIST servers."""
     yield Slope("process.memory.bare", start.rss / MB, "MB", f"RSS, {SHORT_LIST} servers, idle")
     entry_bytes = start.snapshot_bytes / SHORT_LIST
     yield Slope(
@@ -204,7 +204,7 @@
 def time_slopes(
     gateway: GatewayProcess, discovery: HttpDiscovery, start: StartResult, seconds: float
 ) -> Iterator[Slope]:
-    """Start-up time, and PING latencies while the list changes; both depend on the machine as well."""
+    """Measure start-up time, and PING latencies while the list changes; both depend on the machine too."""
     servers, warnings = len(discovery.table.names), gateway.discovery_warnings()
     description = f"list {start.snapshot_bytes / MB:.3f} MB, RSS {start.rss / MB:.0f} MB"
     description += "" if start.has_list else f", WITHOUT THE LIST after {ACKNOWLEDGE_TIMEOUT:g} s"
@@ -235,7 +235,7 @@
 
 
 def growth_slopes(starts: dict[int, StartResult], costs: dict[int, Cost], long_list: int) -> Iterator[Slope]:
-    """Memory and processor time of one more server, and the growth of a change's cost with the list."""
+    """Measure memory and processor time of one more server, and how a change's cost grows with the list."""
     short_start, long_start, added_servers = starts[SHORT_LIST], starts[long_list], long_list - SHORT_LIST
     conditions = f"between {SHORT_LIST} and {long_list:,} servers"
     yield Slope(
--- a/thymehinge/interface.py
+++ b/thymehinge/interface.py
@@ -145,7 +145,7 @@
         return max(request_class.timeout for request_class in self.classes)
 
     def __post_init__(self) -> None:
-        """Validates the values.
+        """Validate the values.
 
         Raises:
             ValueError: a value is out of range; the message names the setting.
--- a/thymehinge/net/client_connection.py
+++ b/thymehinge/net/client_connection.py
@@ -298,7 +298,7 @@
                 self.process_commands()
 
     def has_no_input(self) -> bool:
-        """Whether no received data is left to process, in the parser or in the kernel's receive buffer."""
+        """Return whether no received data is pending, in the parser or in the kernel's receive buffer."""
         return not self.parser.has_unparsed() and not unread_bytes(self.sock)
 
     def on_all_answered(self, wrote_replies: bool) -> None:
--- a/thymehinge/net/clients.py
+++ b/thymehinge/net/clients.py
@@ -213,7 +213,7 @@
         self.resume_accepting()
 
     def command_timed_out(self, connection: ClientConnection, last_data_at: float, now: float) -> bool:
-        """Whether a partial command has had no data for too long, or is older than any request may be."""
+        """Return whether a partial command has stalled for too long, or is older than any request may be."""
         silent = last_data_at <= now - PARTIAL_COMMAND_TIMEOUT
         late = connection.command_started_at <= now - max(self.longest_timeout, PARTIAL_COMMAND_TIMEOUT)
         return (silent or late) and not connection.slow_reader  # reading is paused for slow readers
--- a/thymehinge/net/exchange.py
+++ b/thymehinge/net/exchange.py
@@ -155,9 +155,9 @@
         )
 
     def is_over(self) -> bool:
-        """Whether no further attempt may be sent: the request is answered, or its client has closed.
+        """Return whether no further attempt may be sent: the request is answered, or its client has closed.
 
-        Aborts the connection if its client has closed.
+        Abort the connection if its client has closed.
         """
         if not self.done:
             self.connection.abort_if_client_closed()
--- a/thymehinge/net/resp.py
+++ b/thymehinge/net/resp.py
@@ -23,14 +23,14 @@
     """The data is not valid RESP2, or exceeds a limit."""
 
 
-class Incomplete(Exception):
+class IncompleteMessageError(Exception):
     """More data is needed to parse the message."""
 
 
 def parse_header(data: bytes, offset: int, type_byte: bytes) -> tuple[int, int]:
     """Return the number in an array or bulk string header, and the offset after the header.
 
-    Raises ProtocolError or Incomplete, like all parsing functions of this module.
+    Raises ProtocolError or IncompleteMessageError, like all parsing functions of this module.
     """
     if data[offset : offset + 1] != type_byte and offset < len(data):
         raise ProtocolError(f"{type_byte.decode()} expected, got {data[offset : offset + 1]!r}")
@@ -38,7 +38,7 @@
     if found is not None:
         return int(found[1]), found.end()
     if offset >= len(data) or PARTIAL_HEADER.fullmatch(data, offset):
-        raise Incomplete
+        raise IncompleteMessageError
     raise ProtocolError("nonsensical length")
 
 
@@ -53,7 +53,7 @@
     if not b"\r\n".startswith(data[end - 2 : end]):
         raise ProtocolError("a string does not end where it should")
     if len(data) < end:
-        raise Incomplete
+        raise IncompleteMessageError
     return data[offset : end - 2], end
 
 
@@ -63,7 +63,7 @@
     if end >= 0:
         return data[offset + 1 : end], end + 2
     if len(data) - offset < MAX_LINE_BYTES:
-        raise Incomplete
+        raise IncompleteMessageError
     raise ProtocolError("a line is too long")
 
 
@@ -129,7 +129,7 @@
                 if argument is None:
                     raise ProtocolError("a command holds a null")
                 arguments.append(argument)
-        except Incomplete:
+        except IncompleteMessageError:
             if len(data) - self.offset > MAX_PARTIAL_COMMAND_BYTES:
                 raise ProtocolError("a command is too long") from None
             return None
@@ -137,7 +137,7 @@
         return arguments
 
     def has_unparsed(self) -> bool:
-        """Whether data is buffered that has not been returned as a command."""
+        """Return whether data is buffered that has not been returned as a command."""
         return self.offset < len(self.buffer)
 
     def unparsed_bytes(self) -> int:
--- a/thymehinge/net/server_connection.py
+++ b/thymehinge/net/server_connection.py
@@ -9,7 +9,7 @@
 
 from thymehinge.interface import Result
 from thymehinge.net.config import Address
-from thymehinge.net.resp import Incomplete, ProtocolError, parse_answer
+from thymehinge.net.resp import IncompleteMessageError, ProtocolError, parse_answer
 
 if TYPE_CHECKING:
     from thymehinge.net.servers import Pool
@@ -137,7 +137,7 @@
         servers, was_partial, self.buffer = self.pool.servers, bool(self.buffer), self.buffer + data
         try:
             value, text, end = parse_answer(self.buffer)
-        except Incomplete:
+        except IncompleteMessageError:
             if not was_partial:
                 size = len(self.buffer)
                 servers.call_at(
--- a/thymehinge/settings.py
+++ b/thymehinge/settings.py
@@ -19,7 +19,7 @@
 
 
 def get_setting(value: Any, path: str, kind: type | dict[str, Any], default: Any = None) -> Any:
-    """Returns the value at a dotted path of a JSON object.
+    """Return the value at a dotted path of a JSON object.
 
     Args:
         value: the JSON object.
@@ -48,7 +48,7 @@
 
 
 def read_settings(raw: Any) -> api.Settings:
-    """Converts the settings object to `Settings`; unknown fields are ignored.
+    """Convert the settings object to `Settings`; unknown fields are ignored.
 
     Raises:
         ValueError: a field is missing or invalid; the message names it.
