--- a/tests/netkit.py
+++ b/tests/netkit.py
@@ -107,10 +107,8 @@
     """A gateway on loopback sockets, whose decision module's events are recorded."""
 
     def __init__(self, **overrides: Any) -> None:
-        clock, self.clock_offset = (
-            monotonic_unix_clock(),
-            0.0,
-        )  # seconds by which the gateway's clock is ahead
+        # clock_offset: seconds by which the gateway's clock is ahead.
+        clock, self.clock_offset = monotonic_unix_clock(), 0.0
         self.driver = Driver(parse_config(raw_config(**overrides), {}), lambda: clock() + self.clock_offset)
         self.driver.listening_since = self.driver.clock()
         self.events: asyncio.Queue[api.Event] = asyncio.Queue()
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -37,11 +37,12 @@
 from thymehinge.net.driver import RESERVED_DESCRIPTORS, SERVER_CONNECTION_FRACTION
 
 MAX_SOCKETS = 128  # descriptors of the process, by its rlimit and by its configuration
+# Descriptors left for clients.
 MAX_CLIENTS = (
     MAX_SOCKETS
     - RESERVED_DESCRIPTORS
     - int((MAX_SOCKETS - RESERVED_DESCRIPTORS) * SERVER_CONNECTION_FRACTION)
-)  # the part for clients
+)
 SILENT_CLIENTS = 3 * MAX_CLIENTS  # connections without a request, more than the gateway accepts
 
 
