--- a/thymehinge/emulator/discovery.py
+++ b/thymehinge/emulator/discovery.py
@@ -167,7 +167,7 @@
             self.send(gateway, ListKind.DELTA, tuple(changed.values()))
 
     def send_snapshot(self, gateway: int) -> None:
-        """Send the whole list without delay, as to a gateway that has just started."""
+        """Send a snapshot without delay, as to a gateway that has just started."""
         self.send(gateway, ListKind.SNAPSHOT, tuple(self.server_list.values()))
 
     def send(self, gateway: int, kind: ListKind, entries: tuple[api.Server, ...]) -> None:
--- a/thymehinge/emulator/http_discovery.py
+++ b/thymehinge/emulator/http_discovery.py
@@ -41,7 +41,7 @@
         self.entries: dict[str, dict[str, Any]] = {}
         self.encoded_entries: dict[str, bytes] = {}
         self.changes: dict[str, tuple[int, bytes]] = {}  # last change of each server, oldest first
-        self.snapshot, self.snapshot_version = b"", 0  # cached body of the whole list
+        self.snapshot, self.snapshot_version = b"", 0  # cached body of a snapshot
         for _ in range(servers):
             self.add_server()
 
@@ -100,7 +100,7 @@
     def response(self, since: int | None) -> tuple[bytes, int]:
         """Return a response body and its number of entries.
 
-        The body holds the changes since version `since`, or the whole list if `since` is None or unknown.
+        The body holds the changes since version `since`, or a snapshot if `since` is None or unknown.
         """
         if since is None or not self.oldest_version <= since <= self.version:
             if self.snapshot_version != self.version:
@@ -128,7 +128,7 @@
 
 
 def parse_query(query: Mapping[str, str]) -> tuple[int | None, int]:
-    """Return the version that a call watches from, None for the whole list, and its timeout in ms.
+    """Return the version that a call watches from, None for a snapshot, and its timeout in ms.
 
     Raises ValueError, with the text of the response, for an invalid query.
     """
@@ -265,11 +265,11 @@
         return self.run_in_thread(self.update_table(self.table.apply_change, count))
 
     def send_snapshot(self) -> int:
-        """Make a new version that watches receive as a whole list, and return the version."""
+        """Make a new version that watches receive as a snapshot, and return the version."""
         return self.run_in_thread(self.update_table(self.table.discard_changes))
 
     def snapshot_bytes(self) -> int:
-        """Return the size of the whole list in bytes, without HTTP headers."""
+        """Return the size of a snapshot in bytes, without HTTP headers."""
 
         async def size() -> int:
             return len(self.table.response(None)[0])
--- a/thymehinge/net/client_connection.py
+++ b/thymehinge/net/client_connection.py
@@ -211,7 +211,7 @@
         return self.track_partial_command()
 
     def process_batch(self) -> bool:
-        """Process commands whose immediate replies are written together; whether more may be buffered."""
+        """Process commands whose immediate replies are written together; return whether more may follow."""
         self.batching = True
         try:
             while len(self.pending) < MAX_PIPELINED_COMMANDS and self.phase is Phase.OPEN:
--- a/thymehinge/net/clients.py
+++ b/thymehinge/net/clients.py
@@ -93,7 +93,7 @@
             self.listener = None
 
     def accept(self) -> bool:
-        """Accept waiting connections; whether the backlog is empty.
+        """Accept waiting connections; return whether the backlog is empty.
 
         At the connection limit another connection is evicted, whose descriptor is free one loop turn later.
         """
@@ -219,7 +219,7 @@
         return (silent or late) and not connection.slow_reader  # reading is paused for slow readers
 
     def drain(self) -> bool:
-        """Close connections without pending requests, and the listener; whether none is left.
+        """Close connections without pending requests, and the listener; return whether none is left.
 
         Connections in the backlog are accepted first, since their requests may be in the kernel's buffers.
         To be called repeatedly until it returns True.
--- a/thymehinge/net/driver.py
+++ b/thymehinge/net/driver.py
@@ -84,7 +84,7 @@
         self.call_at(clock() + SWEEP_INTERVAL, self.sweep)
 
     def is_ready(self) -> bool:
-        """Whether PING reports readiness: there is a server list, or FIRST_LIST_TIMEOUT has passed.
+        """Return whether PING reports readiness: there is a server list, or FIRST_LIST_TIMEOUT has passed.
 
         Requests are accepted before that too. Without a list, they wait for one or are refused, as the
         decision module determines.
--- a/thymehinge/net/servers.py
+++ b/thymehinge/net/servers.py
@@ -246,7 +246,7 @@
             self.on_outcome(attempt, result, load_report, value)
 
     def ensure_capacity(self, pool: Pool) -> bool:
-        """Whether the pool may open a connection.
+        """Return whether the pool may open a connection.
 
         At the total limit, the connection that has been idle for longest in any pool is closed to allow it.
         """
